--- a/crates/control-cell/src/lib.rs
+++ b/crates/control-cell/src/lib.rs
@@ -9,21 +9,21 @@
 pub mod state;
 
 use crate::prelude::*;
-use node_base::env::{CELL_PORT, FEED_PORT};
+use node_base::settings::{CELL_PORT, FEED_PORT};
 
 /// Runs a cell until it is told to end.
-pub async fn run_cell(env: NodeEnv) -> NodeResult<()> {
-    let env = Arc::new(env);
+pub async fn run_cell(settings: NodeSettings) -> NodeResult<()> {
+    let settings = Arc::new(settings);
     let bind = |addr: String| async move {
         TcpListener::bind(&addr).await.map_err(|e| NodeError::Io { what: addr, source: e })
     };
-    let inner = bind(env.own_addr(CELL_PORT)).await?;
-    let feed = bind(env.own_addr(FEED_PORT)).await?;
-    let control = match env.listen.control {
+    let inner = bind(settings.own_addr(CELL_PORT)).await?;
+    let feed = bind(settings.own_addr(FEED_PORT)).await?;
+    let control = match settings.listen.control {
         Some(a) => Some(bind(a.to_string()).await?),
         None => None,
     };
-    let cell = owner::start(&env)?;
+    let cell = owner::start(&settings)?;
     let h = cell.clone();
     tokio::spawn(node_base::links::serve_calls(inner, move |q: CellCall| {
         let h = h.clone();
--- a/crates/control-cell/src/listing/mod.rs
+++ b/crates/control-cell/src/listing/mod.rs
@@ -10,7 +10,7 @@
 const WITHIN: Duration = Duration::from_millis(800);
 
 pub async fn read_lists(
-    cloud: CloudEnv,
+    cloud: CloudSettings,
     drain: Duration,
     mut held: watch::Receiver<Held>,
     out: mpsc::Sender<CellCommand>,
--- a/crates/control-cell/src/owner/handle.rs
+++ b/crates/control-cell/src/owner/handle.rs
@@ -98,9 +98,9 @@
 }
 
 /// Opens the disk and starts the owner.
-pub fn start(env: &Arc<NodeEnv>) -> NodeResult<CellHandle> {
+pub fn start(settings: &Arc<NodeSettings>) -> NodeResult<CellHandle> {
     let (tx, rx) = mpsc::channel(2048);
-    let owner = Owner::open(env.clone(), tx.clone())?;
+    let owner = Owner::open(settings.clone(), tx.clone())?;
     tokio::spawn(owner.run(rx));
     Ok(CellHandle { queue: tx })
 }
--- a/crates/control-cell/src/owner/lead.rs
+++ b/crates/control-cell/src/owner/lead.rs
@@ -2,7 +2,7 @@
 use super::work::Owner;
 use crate::duties::may_retire;
 use crate::prelude::*;
-use node_base::env::CELL_PORT;
+use node_base::settings::CELL_PORT;
 
 const JOINER_KEPT: Duration = Duration::from_secs(2);
 const LEAVING_KEPT: Duration = Duration::from_secs(6);
@@ -59,10 +59,10 @@
             return;
         }
         let mut addrs: BTreeSet<String> = self
-            .env
+            .settings
             .seeds
             .iter()
-            .map(|s| self.env.inner_addr(&s.ip().to_string(), CELL_PORT))
+            .map(|s| self.settings.inner_addr(&s.ip().to_string(), CELL_PORT))
             .collect();
         addrs.extend(self.agree.log.members().iter().map(|m| m.addr.clone()));
         addrs.remove(&self.me.addr);
@@ -112,7 +112,7 @@
             return self.propose(Body::Members(next), None);
         }
 
-        let areas: BTreeSet<String> = self.env.areas.keys().cloned().collect();
+        let areas: BTreeSet<String> = self.settings.areas.keys().cloned().collect();
         let alive = |id: u64| !self.leaving.contains_key(&id) && silent(id) < HOLDER_SILENT;
         if let Some(holders) = next_holders(&self.state.holders, &areas, &members, alive) {
             return self.change(Change::PutHolders { holders });
@@ -123,7 +123,8 @@
             .values()
             .map(|(s, at)| StoreSight { status: s.clone(), silent: now.duration_since(*at) })
             .collect();
-        if let Some(set) = next_stores(&self.state.stores, &seen, calm, self.env.tolerated.stores())
+        if let Some(set) =
+            next_stores(&self.state.stores, &seen, calm, self.settings.tolerated.stores())
         {
             info!("store set {} with {} stores", set.version, set.stores.len());
             return self.change(Change::PutStores { base: self.state.stores.version, set });
--- a/crates/control-cell/src/owner/work.rs
+++ b/crates/control-cell/src/owner/work.rs
@@ -4,7 +4,7 @@
 use super::trial::TrialDesk;
 use crate::listing::{read_lists, Held};
 use crate::prelude::*;
-use node_base::env::CELL_PORT;
+use node_base::settings::CELL_PORT;
 
 pub(super) enum Reader {
     Config(oneshot::Sender<Option<Option<Bytes>>>),
@@ -21,7 +21,7 @@
 /// Invariants: `state` is what the log says up to `agree.applied`; `placed` holds proposals made here
 /// in this term and not yet applied; a reader is served only when its index is applied.
 pub(super) struct Owner {
-    pub env: Arc<NodeEnv>,
+    pub settings: Arc<NodeSettings>,
     pub queue: mpsc::Sender<CellCommand>,
     pub me: Member,
     /// Starts on this disk: what this cell numbers never goes back over a restart.
@@ -60,24 +60,27 @@
 }
 
 impl Owner {
-    pub fn open(env: Arc<NodeEnv>, queue: mpsc::Sender<CellCommand>) -> NodeResult<Self> {
-        let Some(dir) = env.data_dir.clone() else {
-            return Err(NodeError::BadEnv {
+    pub fn open(settings: Arc<NodeSettings>, queue: mpsc::Sender<CellCommand>) -> NodeResult<Self> {
+        let Some(dir) = settings.data_dir.clone() else {
+            return Err(NodeError::BadSettings {
                 file: "settings".into(),
                 field: "dataDirectory".into(),
                 reason: "is missing; a cell needs a disk".into(),
             });
         };
-        let own = env.own_addr(CELL_PORT);
+        let own = settings.own_addr(CELL_PORT);
         let (mut disk, hard, mut log) = AgreementDisk::open(&dir.join("agreement"))?;
         // The identity lasts as long as the disk: a cell that finds none is a new member.
-        let founders: Vec<String> =
-            env.seeds.iter().map(|s| env.inner_addr(&s.ip().to_string(), CELL_PORT)).collect();
+        let founders: Vec<String> = settings
+            .seeds
+            .iter()
+            .map(|s| settings.inner_addr(&s.ip().to_string(), CELL_PORT))
+            .collect();
         let (id, lives) =
             match load_snapshot(&dir, "identity")?.and_then(|b| decode::<(u64, u64)>(&b)) {
                 Some((id, lives)) => (id, lives + 1),
                 None => {
-                    let founds = env.first_start && founders.contains(&own);
+                    let founds = settings.first_start && founders.contains(&own);
                     let id = if founds { id_of_founder(&own) } else { fastrand::u64(1..1 << 62) };
                     if founds {
                         log.snap.members = founders
@@ -96,7 +99,8 @@
                 }
             };
         save_snapshot(&dir, "identity", &encode(&(id, lives)))?;
-        let me = Member { id, name: env.node_name.clone(), addr: own, area: env.area.clone() };
+        let me =
+            Member { id, name: settings.node_name.clone(), addr: own, area: settings.area.clone() };
         let state = match log.snap.data.is_empty() {
             true => CellState::default(),
             // Another version's state is not dropped for an empty one.
@@ -108,13 +112,13 @@
         };
         let seed = fastrand::u64(..);
         let (held, watch_held) = watch::channel(Held::new());
-        if let Some(cloud) = env.cloud.clone() {
-            tokio::spawn(read_lists(cloud, env.bounds.drain, watch_held, queue.clone()));
+        if let Some(cloud) = settings.cloud.clone() {
+            tokio::spawn(read_lists(cloud, settings.bounds.drain, watch_held, queue.clone()));
         }
         let now = Instant::now();
         Ok(Owner {
             agree: Agreement::new(id, hard, log, Tuning::default(), seed),
-            env,
+            settings,
             queue,
             me,
             lives,
--- a/crates/control-cell/tests/trial_leader.rs
+++ b/crates/control-cell/tests/trial_leader.rs
@@ -1,12 +1,12 @@
 //! A trial over three cells whose leader changes while outcomes come in.
 use control_cell::prelude::*;
-use node_base::env::CELL_PORT;
+use node_base::settings::CELL_PORT;
 use routing_trial::prelude::{check_spec, Arm, Breach, Outcome as Came};
 use tokio::runtime::Builder;
 
 const PORTS: u16 = 27_580;
 
-fn env(i: usize, dir: &Path) -> NodeEnv {
+fn settings(i: usize, dir: &Path) -> NodeSettings {
     let text = format!(
         "nodeName = \"core-{i}\"\nmachineClass = \"core\"\nipAddress = \"127.0.10.{}\"\nzone = \"a\"\n\
          internalPortRange = [{PORTS},{}]\nseedAddresses = [\"127.0.10.61:1\", \"127.0.10.62:1\", \
@@ -20,19 +20,19 @@
     );
     let file = dir.join(format!("core-{i}.toml"));
     std::fs::write(&file, text).unwrap();
-    node_base::env::read_env(&file.display().to_string()).unwrap()
+    node_base::settings::read_settings(&file.display().to_string()).unwrap()
 }
 
 /// A cell on a thread of its own, which ends it like a kill would when told (or dropped).
 fn cell(i: usize, dir: &Path) -> (CellHandle, oneshot::Sender<()>) {
-    let env = Arc::new(env(i, dir));
+    let settings = Arc::new(settings(i, dir));
     let (stop, stopped) = oneshot::channel::<()>();
     let (tx, rx) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let rt = Builder::new_current_thread().enable_all().build().unwrap();
         rt.block_on(async {
-            let inner = TcpListener::bind(env.own_addr(CELL_PORT)).await.unwrap();
-            let cell = control_cell::owner::start(&env).unwrap();
+            let inner = TcpListener::bind(settings.own_addr(CELL_PORT)).await.unwrap();
+            let cell = control_cell::owner::start(&settings).unwrap();
             let h = cell.clone();
             tokio::spawn(node_base::links::serve_calls(inner, move |q: CellCall| {
                 let h = h.clone();
--- a/crates/doctor/src/facts/mod.rs
+++ b/crates/doctor/src/facts/mod.rs
@@ -42,10 +42,13 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-pub async fn gather(env: &NodeEnv) -> Facts {
+pub async fn gather(settings: &NodeSettings) -> Facts {
     let mut f = Facts::default();
-    let mut todo: VecDeque<String> =
-        env.seeds.iter().map(|s| env.inner_addr(&s.ip().to_string(), CELL_PORT)).collect();
+    let mut todo: VecDeque<String> = settings
+        .seeds
+        .iter()
+        .map(|s| settings.inner_addr(&s.ip().to_string(), CELL_PORT))
+        .collect();
     let mut seen: BTreeSet<String> = todo.iter().cloned().collect();
     let mut stores: BTreeMap<String, (String, String)> = BTreeMap::new();
     while let Some(addr) = todo.pop_front() {
@@ -76,13 +79,13 @@
         };
         f.stores.push(StoreFact { name, state, addr, told });
     }
-    if let Some(cloud) = &env.cloud {
-        for area in env.areas.keys() {
+    if let Some(cloud) = &settings.cloud {
+        for area in settings.areas.keys() {
             let n = list_area(cloud.address, area, WITHIN).await.ok().map(|l| l.len());
             f.listed.insert(area.clone(), n);
         }
     }
-    f.disk = env.data_dir.as_deref().map(|d| look_at_disk(d, env.limits.disk_mb << 20));
+    f.disk = settings.data_dir.as_deref().map(|d| look_at_disk(d, settings.limits.disk_mb << 20));
     f
 }
 
--- a/crates/doctor/src/findings/mod.rs
+++ b/crates/doctor/src/findings/mod.rs
@@ -10,7 +10,7 @@
 
 const CLOCK: Duration = Duration::from_secs(5);
 
-pub fn find_faults(env: &NodeEnv, f: &Facts) -> Vec<Finding> {
+pub fn find_faults(settings: &NodeSettings, f: &Facts) -> Vec<Finding> {
     let mut out = Vec::new();
     let mut say = |place: &str, fault: String, remedy: &str| {
         out.push(Finding { place: place.into(), fault, remedy: remedy.into() });
@@ -153,8 +153,8 @@
             );
         }
     }
-    if env.limits.descriptors > 0 && env.limits.descriptors < 600 {
-        say(&env.node_name, "few descriptors are allowed".into(), "allow 600 or more");
+    if settings.limits.descriptors > 0 && settings.limits.descriptors < 600 {
+        say(&settings.node_name, "few descriptors are allowed".into(), "allow 600 or more");
     }
     out
 }
@@ -163,8 +163,8 @@
 mod tests {
     use super::*;
 
-    fn env() -> NodeEnv {
-        node_base::env::parse_env(
+    fn settings() -> NodeSettings {
+        node_base::settings::parse_settings(
             "f",
             "nodeName = \"n\"\nipAddress = \"10.0.0.1\"\nzone = \"a\"\ninternalPortRange = [7000,7015]\n\
              seedAddresses = [\"10.0.0.2:80\"]\n",
@@ -202,7 +202,7 @@
 
     #[test]
     fn a_sound_system_has_no_findings() {
-        assert_eq!(find_faults(&env(), &sound()), []);
+        assert_eq!(find_faults(&settings(), &sound()), []);
     }
 
     #[test]
@@ -241,7 +241,7 @@
         for (break_it, want) in rows {
             let mut f = sound();
             break_it(&mut f);
-            let found = find_faults(&env(), &f);
+            let found = find_faults(&settings(), &f);
             assert!(
                 found.iter().any(|x| x.fault.contains(want) && !x.remedy.is_empty()),
                 "{want}: {found:?}"
--- a/crates/doctor/src/lib.rs
+++ b/crates/doctor/src/lib.rs
@@ -7,16 +7,16 @@
 use crate::prelude::*;
 
 /// 0 sound, 1 faults found.
-pub async fn run_doctor(env: &NodeEnv, json: bool) -> NodeResult<i32> {
-    let facts = gather(env).await;
-    let found = find_faults(env, &facts);
+pub async fn run_doctor(settings: &NodeSettings, json: bool) -> NodeResult<i32> {
+    let facts = gather(settings).await;
+    let found = find_faults(settings, &facts);
     if json {
-        let out = serde_json::json!({"node": env.node_name, "sound": found.is_empty(), "findings": found});
+        let out = serde_json::json!({"node": settings.node_name, "sound": found.is_empty(), "findings": found});
         println!("{out}");
     } else {
         println!(
             "{}: {} cells and {} stores asked",
-            env.node_name,
+            settings.node_name,
             facts.cells.len(),
             facts.stores.len()
         );
--- a/crates/doctor/src/prelude.rs
+++ b/crates/doctor/src/prelude.rs
@@ -5,5 +5,5 @@
 pub use inner_protocol::prelude::*;
 pub use inner_protocol::stores::{StoreCall, StoreReply};
 pub use node_base::disk::verify_segments;
-pub use node_base::env::{CELL_PORT, STORE_PORT};
+pub use node_base::settings::{CELL_PORT, STORE_PORT};
 pub use outer_calls::prelude::{list_area, ListError};
--- a/crates/feed-agent/src/lib.rs
+++ b/crates/feed-agent/src/lib.rs
@@ -8,13 +8,14 @@
 /// Outcomes go on as they come, about once a second; this often when none come.
 const WORD_REPEAT: Duration = Duration::from_secs(10);
 
-pub async fn run_agent(env: NodeEnv) -> NodeResult<()> {
-    let addr = format!("127.0.0.1:{}", env.internal_ports.0 + AGENT_PORT);
+pub async fn run_agent(settings: NodeSettings) -> NodeResult<()> {
+    let addr = format!("127.0.0.1:{}", settings.internal_ports.0 + AGENT_PORT);
     let listener =
         TcpListener::bind(&addr).await.map_err(|e| NodeError::Io { what: addr, source: e })?;
     let (tx, rx) = mpsc::channel(256);
     let (word, words) = watch::channel(None);
-    let follow = FollowEnv { repeat: WORD_REPEAT, ..FollowEnv::of_cells_whole(&env) };
+    let follow =
+        FollowSettings { repeat: WORD_REPEAT, ..FollowSettings::of_cells_whole(&settings) };
     tokio::spawn(follow_cells(follow, tx, words));
     let (open, opens) = mpsc::channel(16);
     let (told, reports) = mpsc::channel(16);
@@ -22,7 +23,7 @@
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|e| NodeError::Io { what: "SIGTERM".into(), source: e })?;
     let (leave, leaving) = watch::channel(false);
-    let grace = env.bounds.grace;
+    let grace = settings.bounds.grace;
     tokio::spawn(async move {
         term.recv().await;
         // The proxy beside it gets the same signal and finishes its answers: news keep coming until
--- a/crates/feed-follow/src/link/mod.rs
+++ b/crates/feed-follow/src/link/mod.rs
@@ -3,11 +3,11 @@
 
 use crate::prelude::*;
 use machine::{Feed, FeedEvent, FeedState};
-use node_base::env::{CELL_PORT, FEED_PORT};
 use node_base::links::{connect, frame_stream, Wire};
+use node_base::settings::{CELL_PORT, FEED_PORT};
 
 /// A follower: who it is, and where cells were first told to be.
-pub struct FollowEnv {
+pub struct FollowSettings {
     pub name: String,
     pub seeds: Vec<String>,
     pub feed_port: u16,
@@ -22,16 +22,16 @@
     pub repeat: Duration,
 }
 
-impl FollowEnv {
+impl FollowSettings {
     /// Follows the cells that the settings name, and those they tell of, for the store set only.
-    pub fn of_cells(env: &NodeEnv) -> Self {
-        let cell = |s: &SocketAddr| env.inner_addr(&s.ip().to_string(), CELL_PORT);
-        FollowEnv {
-            name: env.node_name.clone(),
-            seeds: env.seeds.iter().map(cell).collect(),
-            feed_port: env.internal_ports.0 + FEED_PORT,
+    pub fn of_cells(settings: &NodeSettings) -> Self {
+        let cell = |s: &SocketAddr| settings.inner_addr(&s.ip().to_string(), CELL_PORT);
+        FollowSettings {
+            name: settings.node_name.clone(),
+            seeds: settings.seeds.iter().map(cell).collect(),
+            feed_port: settings.internal_ports.0 + FEED_PORT,
             fixed: false,
-            zone: env.area.clone(),
+            zone: settings.area.clone(),
             topics: Topics::Stores,
             silence: Duration::from_millis(1000),
             repeat: Duration::from_millis(400),
@@ -39,8 +39,8 @@
     }
 
     /// The same, for everything.
-    pub fn of_cells_whole(env: &NodeEnv) -> Self {
-        FollowEnv { topics: Topics::All, ..FollowEnv::of_cells(env) }
+    pub fn of_cells_whole(settings: &NodeSettings) -> Self {
+        FollowSettings { topics: Topics::All, ..FollowSettings::of_cells(settings) }
     }
 }
 
@@ -62,12 +62,12 @@
 /// Follows until the receiver is gone. `status` is told to the cell whenever it changes, and each
 /// `repeat`.
 pub async fn follow_cells<W: Into<FollowMsg> + Clone>(
-    env: FollowEnv,
+    settings: FollowSettings,
     out: mpsc::Sender<News>,
     mut status: watch::Receiver<Option<W>>,
 ) {
-    let zone = if env.fixed { "" } else { &env.zone };
-    let mut cells = CellRank::new(&env.name, zone, &env.seeds);
+    let zone = if settings.fixed { "" } else { &settings.zone };
+    let mut cells = CellRank::new(&settings.name, zone, &settings.seeds);
     let began = Instant::now();
     let mut place = (0u64, 0u64);
     let mut base = PatchBase::default();
@@ -77,7 +77,7 @@
         let Some(cell) = cells.next().cloned() else {
             return;
         };
-        let addr = feed_addr(&cell, env.feed_port);
+        let addr = feed_addr(&cell, settings.feed_port);
         feed.handle(&FeedEvent::Try);
         if let Ok(s) = connect(&addr, CONNECT, QUIET).await {
             feed.handle(&FeedEvent::Linked);
@@ -89,7 +89,7 @@
                 base: &mut base,
                 cells: &mut cells,
             };
-            let _ = run_link(&env, &mut wire, &mut at, &mut feed, &out, &mut status).await;
+            let _ = run_link(&settings, &mut wire, &mut at, &mut feed, &out, &mut status).await;
         }
         let followed = matches!(feed.state(), FeedState::Following {});
         feed.handle(&FeedEvent::Lost);
@@ -115,7 +115,7 @@
 }
 
 async fn run_link<W: Into<FollowMsg> + Clone>(
-    env: &FollowEnv,
+    settings: &FollowSettings,
     wire: &mut Wire,
     at: &mut LinkAt<'_>,
     feed: &mut InitializedStateMachine<Feed>,
@@ -123,10 +123,10 @@
     status: &mut watch::Receiver<Option<W>>,
 ) -> Option<()> {
     let hello = FollowMsg::Follow {
-        name: env.name.clone(),
+        name: settings.name.clone(),
         feed: at.place.0,
         no: at.place.1,
-        topics: env.topics,
+        topics: settings.topics,
         patches: true,
     };
     wire.send(encode(&hello)).await.ok()?;
@@ -138,14 +138,14 @@
     loop {
         if announce && opened != 0 {
             announce = false;
-            next_word = Instant::now() + env.repeat;
+            next_word = Instant::now() + settings.repeat;
             let word = status.borrow().clone();
             if let Some(word) = word {
                 let msg: FollowMsg = word.into();
                 wire.send(encode(&msg)).await.ok()?;
             }
         }
-        let mut wake = last + env.silence;
+        let mut wake = last + settings.silence;
         let speaks = status.borrow().is_some();
         if speaks && opened != 0 {
             wake = wake.min(next_word);
@@ -165,7 +165,7 @@
                         for n in items {
                             at.place.1 = at.place.1.max(n.no);
                             match &n.item {
-                                FeedItem::Cells { index, addrs, zones } if !env.fixed => {
+                                FeedItem::Cells { index, addrs, zones } if !settings.fixed => {
                                     at.cells.learn(*index, addrs, zones);
                                 }
                                 FeedItem::Current => {
@@ -178,7 +178,7 @@
                                 continue;
                             }
                             // An agent tells its proxy whole ones.
-                            let item = match env.fixed {
+                            let item = match settings.fixed {
                                 true => Some(n.item),
                                 false => at.base.whole(n.item),
                             };
@@ -205,7 +205,7 @@
                 Err(_) => talks = false,
             },
             _ = tokio::time::sleep_until(wake.into()) => {
-                if Instant::now() >= last + env.silence {
+                if Instant::now() >= last + settings.silence {
                     return None;
                 }
                 announce = true;
--- a/crates/feed-follow/src/prelude.rs
+++ b/crates/feed-follow/src/prelude.rs
@@ -1,6 +1,6 @@
 //! The one module every file of this package imports.
 pub use crate::base::PatchBase;
-pub use crate::link::{follow_cells, FollowEnv, News};
+pub use crate::link::{follow_cells, FollowSettings, News};
 pub use crate::rank::CellRank;
 pub use crate::view::FeedView;
 pub use inner_protocol::feed::{
--- a/crates/node-base/src/error.rs
+++ b/crates/node-base/src/error.rs
@@ -7,7 +7,7 @@
 #[snafu(visibility(pub))]
 pub enum NodeError {
     #[snafu(display("{file}: {field}: {reason}"))]
-    BadEnv { file: String, field: String, reason: String },
+    BadSettings { file: String, field: String, reason: String },
     #[snafu(display("{what}: {source}"))]
     Io { what: String, source: std::io::Error },
     #[snafu(display("damaged data in {file} at byte {offset}: {reason}"))]
--- a/crates/node-base/src/lib.rs
+++ b/crates/node-base/src/lib.rs
@@ -1,8 +1,8 @@
 //! What every program of spokebank stands on: settings, errors, logs, links and the disk log.
 pub mod disk;
-pub mod env;
 pub mod error;
 pub mod links;
 pub mod logs;
 pub mod prelude;
+pub mod settings;
 pub mod util;
--- a/crates/node-base/src/prelude.rs
+++ b/crates/node-base/src/prelude.rs
@@ -1,8 +1,10 @@
 //! The one module every file of this package imports.
 pub use crate::disk::{load_snapshot, save_snapshot, SegmentLog};
-pub use crate::env::{Bounds, CloudEnv, LimitsEnv, ListenEnv, NodeEnv, Tolerated};
 pub use crate::error::{NodeError, NodeResult};
 pub use crate::links::{decode, encode, tune_stream, Caller, LinkError, LinkResult};
+pub use crate::settings::{
+    Bounds, CloudSettings, LimitSettings, ListenSettings, NodeSettings, Tolerated,
+};
 pub use crate::util::{fnv64, rank_by_rendezvous, rendezvous_score, Backoff};
 pub use bytes::{Bytes, BytesMut};
 pub use dispatcher::prelude::Limits;
--- a/crates/node-base/src/env/check.rs
+++ b/crates/node-base/src/settings/check.rs
@@ -1,5 +1,5 @@
 //! Checks each field; the first fault is told with file, field and reason.
-use super::raw::{RawCloud, RawEnv};
+use super::raw::{RawCloud, RawSettings};
 use crate::prelude::*;
 
 struct Checker<'a> {
@@ -8,7 +8,7 @@
 
 impl Checker<'_> {
     fn fail<T>(&self, field: &str, reason: impl Into<String>) -> NodeResult<T> {
-        Err(NodeError::BadEnv {
+        Err(NodeError::BadSettings {
             file: self.file.into(),
             field: field.into(),
             reason: reason.into(),
@@ -64,18 +64,18 @@
     }
 }
 
-pub fn read_env(path: &str) -> NodeResult<NodeEnv> {
-    let text = std::fs::read_to_string(path).map_err(|e| NodeError::BadEnv {
+pub fn read_settings(path: &str) -> NodeResult<NodeSettings> {
+    let text = std::fs::read_to_string(path).map_err(|e| NodeError::BadSettings {
         file: path.into(),
         field: "(file)".into(),
         reason: e.to_string(),
     })?;
-    parse_env(path, &text)
+    parse_settings(path, &text)
 }
 
-pub fn parse_env(path: &str, text: &str) -> NodeResult<NodeEnv> {
+pub fn parse_settings(path: &str, text: &str) -> NodeResult<NodeSettings> {
     let ck = Checker { file: path };
-    let raw: RawEnv = match toml::from_str(text) {
+    let raw: RawSettings = match toml::from_str(text) {
         Ok(r) => r,
         Err(e) => return ck.fail("(file)", e.message().to_string()),
     };
@@ -98,7 +98,7 @@
     if seeds.is_empty() {
         return ck.fail("seedAddresses", "names no node");
     }
-    let mut listen = ListenEnv::default();
+    let mut listen = ListenSettings::default();
     for (key, val) in &raw.listen_addresses {
         let a = ck.addr(&format!("listenAddresses.{key}"), val)?;
         match key.as_str() {
@@ -108,7 +108,7 @@
             _ => {}
         }
     }
-    let limits = LimitsEnv {
+    let limits = LimitSettings {
         memory_mb: ck.num(&raw.limits, "limits", "memoryMb", 256.0)? as u64,
         descriptors: ck.num(&raw.limits, "limits", "fileDescriptors", 1024.0)? as u64,
         disk_mb: ck.num(&raw.limits, "limits", "diskMb", 0.0)? as u64,
@@ -126,7 +126,7 @@
         config_apply: ck.span(b, "configApplyMs", 1e-3, 2000.0)?,
         reuse_after: ck.span(b, "reuseAfterS", 1.0, 2.0)?,
     };
-    Ok(NodeEnv {
+    Ok(NodeSettings {
         node_name: ck.need("nodeName", raw.node_name)?,
         machine_class: raw.machine_class.unwrap_or_default(),
         ip,
@@ -170,9 +170,9 @@
     })
 }
 
-fn check_cloud(ck: &Checker<'_>, raw: RawCloud) -> NodeResult<CloudEnv> {
+fn check_cloud(ck: &Checker<'_>, raw: RawCloud) -> NodeResult<CloudSettings> {
     let addr = ck.need("cloudApi.address", raw.address)?;
-    Ok(CloudEnv {
+    Ok(CloudSettings {
         address: ck.addr("cloudApi.address", &addr)?,
         lag: Duration::from_secs_f64(raw.lag_ms.unwrap_or(1000.0).clamp(0.0, 60_000.0) / 1e3),
         rate_per_s: raw.rate_per_s.unwrap_or(10.0).clamp(0.1, 1e6),
@@ -181,7 +181,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::parse_env;
+    use super::parse_settings;
 
     const GOOD: &str = r#"
 nodeName = "n1"
@@ -203,10 +203,10 @@
 
     #[test]
     fn takes_a_good_file_and_ignores_unknown_fields() {
-        let env = parse_env("f", GOOD).unwrap();
-        assert_eq!(env.node_name, "n1");
-        assert_eq!(env.bounds.catch_up.as_millis(), 4100);
-        assert_eq!(env.own_addr(3), "10.1.0.30:7383");
+        let settings = parse_settings("f", GOOD).unwrap();
+        assert_eq!(settings.node_name, "n1");
+        assert_eq!(settings.bounds.catch_up.as_millis(), 4100);
+        assert_eq!(settings.own_addr(3), "10.1.0.30:7383");
     }
 
     #[test]
@@ -219,7 +219,7 @@
             ("memoryMb = 260", "memoryMb = \"b\"", "f: limits.memoryMb: "),
             ("nodeName = \"n1\"", "", "f: nodeName: is missing"),
         ] {
-            let e = parse_env("f", &GOOD.replace(from, to)).unwrap_err();
+            let e = parse_settings("f", &GOOD.replace(from, to)).unwrap_err();
             assert!(e.to_string().starts_with(want), "{e} / {want}");
         }
     }
--- a/crates/node-base/src/env/mod.rs
+++ b/crates/node-base/src/settings/mod.rs
@@ -2,14 +2,14 @@
 mod check;
 mod raw;
 
-pub use check::{parse_env, read_env};
+pub use check::{parse_settings, read_settings};
 
 use crate::prelude::*;
 
 /// Invariants: every address parses, `internal_ports.0 <= internal_ports.1` with room for eight,
 /// and every duration is above zero.
 #[derive(Debug, Clone)]
-pub struct NodeEnv {
+pub struct NodeSettings {
     pub node_name: String,
     pub machine_class: String,
     pub ip: String,
@@ -19,17 +19,17 @@
     pub seeds: Vec<SocketAddr>,
     pub first_start: bool,
     pub data_dir: Option<PathBuf>,
-    pub listen: ListenEnv,
-    pub limits: LimitsEnv,
+    pub listen: ListenSettings,
+    pub limits: LimitSettings,
     /// Machines, zones and regions that may be lost at once.
     pub tolerated: Tolerated,
     pub bounds: Bounds,
-    pub cloud: Option<CloudEnv>,
+    pub cloud: Option<CloudSettings>,
     pub dispatcher: Limits,
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct ListenEnv {
+pub struct ListenSettings {
     pub front: Option<SocketAddr>,
     pub readiness: Option<SocketAddr>,
     pub control: Option<SocketAddr>,
@@ -52,7 +52,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct LimitsEnv {
+pub struct LimitSettings {
     pub memory_mb: u64,
     pub descriptors: u64,
     pub disk_mb: u64,
@@ -70,7 +70,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct CloudEnv {
+pub struct CloudSettings {
     pub address: SocketAddr,
     pub lag: Duration,
     pub rate_per_s: f64,
@@ -82,7 +82,7 @@
 pub const AGENT_PORT: u16 = 2;
 pub const STORE_PORT: u16 = 3;
 
-impl NodeEnv {
+impl NodeSettings {
     pub fn inner_addr(&self, ip: &str, offset: u16) -> String {
         format!("{ip}:{}", self.internal_ports.0 + offset)
     }
--- a/crates/node-base/src/env/raw.rs
+++ b/crates/node-base/src/settings/raw.rs
@@ -3,7 +3,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct RawEnv {
+pub struct RawSettings {
     pub node_name: Option<String>,
     pub machine_class: Option<String>,
     pub ip_address: Option<String>,
--- a/crates/operator-config/src/check/fields.rs
+++ b/crates/operator-config/src/check/fields.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    pub fn services(&mut self, top: &Map<String, Value>) -> Vec<Arc<ServiceEnv>> {
+    pub fn services(&mut self, top: &Map<String, Value>) -> Vec<Arc<Service>> {
         let mut seen = HashSet::new();
         let mut out = Vec::new();
         for (i, v) in self.list(top, "serviceTable").iter().enumerate() {
@@ -124,7 +124,7 @@
                     None
                 }
             };
-            out.push(Arc::new(ServiceEnv { name, liveness_path, most_connections, engine }));
+            out.push(Arc::new(Service { name, liveness_path, most_connections, engine }));
         }
         out
     }
@@ -145,11 +145,7 @@
         }
     }
 
-    pub fn ways(
-        &mut self,
-        top: &Map<String, Value>,
-        services: &[Arc<ServiceEnv>],
-    ) -> Vec<Arc<WayEnv>> {
+    pub fn ways(&mut self, top: &Map<String, Value>, services: &[Arc<Service>]) -> Vec<Arc<Route>> {
         let known: HashSet<&str> = services.iter().map(|s| s.name.as_str()).collect();
         let mut places = HashSet::new();
         let mut out = Vec::new();
@@ -184,7 +180,7 @@
             let splits = self.splits(obj, &at, &known);
             let retention = self.num(obj, &at, "retentionS", 60.0, 1e7);
             let aim = self.ms(obj, &at, "targetLatencyMs", 1000.0);
-            out.push(Arc::new(WayEnv {
+            out.push(Arc::new(Route {
                 name: match obj.get("name") {
                     None => String::new(),
                     Some(_) => self.text(obj, &at, "name"),
--- a/crates/operator-config/src/check/mod.rs
+++ b/crates/operator-config/src/check/mod.rs
@@ -19,7 +19,7 @@
 }
 
 /// Reads a whole configuration; every fault found is listed.
-pub fn check_config(body: &[u8]) -> Result<ConfigEnv, Vec<Fault>> {
+pub fn check_config(body: &[u8]) -> Result<OperatorConfig, Vec<Fault>> {
     let val: Value = match serde_json::from_slice(body) {
         Ok(v) => v,
         Err(e) => {
@@ -38,7 +38,7 @@
     let ways = rd.ways(top, &services);
     let limits = rd.limits(top);
     if rd.faults.is_empty() {
-        Ok(ConfigEnv { serial, ways, services, limits })
+        Ok(OperatorConfig { serial, ways, services, limits })
     } else {
         Err(rd.faults)
     }
--- a/crates/operator-config/src/ways/mod.rs
+++ b/crates/operator-config/src/ways/mod.rs
@@ -16,7 +16,7 @@
 
 /// Invariants: the prefix begins and ends with a slash; the weights sum to more than 0.
 #[derive(Debug, Clone, PartialEq)]
-pub struct WayEnv {
+pub struct Route {
     pub name: String,
     pub host: String,
     pub prefix: String,
@@ -42,7 +42,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServiceEnv {
+pub struct Service {
     pub name: String,
     pub liveness_path: String,
     pub most_connections: u32,
@@ -58,22 +58,22 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct ConfigEnv {
+pub struct OperatorConfig {
     pub serial: u64,
-    pub ways: Vec<Arc<WayEnv>>,
-    pub services: Vec<Arc<ServiceEnv>>,
+    pub ways: Vec<Arc<Route>>,
+    pub services: Vec<Arc<Service>>,
     pub limits: LimitsOfClients,
 }
 
 /// Ways by host, longest prefix first. Invariant: no two ways of a host share a prefix.
 #[derive(Debug, Default)]
 pub struct WayTable {
-    hosts: HashMap<String, Vec<Arc<WayEnv>>>,
+    hosts: HashMap<String, Vec<Arc<Route>>>,
 }
 
 impl WayTable {
-    pub fn new(cfg: &ConfigEnv) -> Self {
-        let mut hosts: HashMap<String, Vec<Arc<WayEnv>>> = HashMap::new();
+    pub fn new(cfg: &OperatorConfig) -> Self {
+        let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for w in &cfg.ways {
             hosts.entry(w.host.to_ascii_lowercase()).or_default().push(w.clone());
         }
@@ -83,7 +83,7 @@
         WayTable { hosts }
     }
 
-    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<WayEnv>> {
+    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let bare = host.rsplit_once(':').map_or(host, |(h, p)| {
             if p.bytes().all(|b| b.is_ascii_digit()) {
                 h
@@ -99,7 +99,7 @@
     }
 }
 
-impl WayEnv {
+impl Route {
     /// The service a draw in [0, 1) falls on.
     pub fn elect_service(&self, draw: f64) -> &str {
         let sum: f64 = self.splits.iter().map(|s| s.weight).sum();
--- a/crates/request-proxy/src/app/feed.rs
+++ b/crates/request-proxy/src/app/feed.rs
@@ -1,16 +1,16 @@
 //! News from the agent beside, and regular housekeeping.
 use super::locked;
 use crate::prelude::*;
-use node_base::env::AGENT_PORT;
+use node_base::settings::AGENT_PORT;
 
 pub fn follow_agent(app: &Arc<App>) {
     let (tx, mut rx) = mpsc::channel(256);
-    let follow = FollowEnv {
-        name: app.env.node_name.clone(),
+    let follow = FollowSettings {
+        name: app.settings.node_name.clone(),
         seeds: vec!["127.0.0.1".into()],
-        feed_port: app.env.internal_ports.0 + AGENT_PORT,
+        feed_port: app.settings.internal_ports.0 + AGENT_PORT,
         fixed: true,
-        zone: app.env.area.clone(),
+        zone: app.settings.area.clone(),
         topics: Topics::All,
         silence: Duration::from_secs(3600),
         repeat: Duration::from_secs(3600),
--- a/crates/request-proxy/src/app/mod.rs
+++ b/crates/request-proxy/src/app/mod.rs
@@ -11,7 +11,7 @@
 pub struct Live {
     pub serial: u64,
     pub ways: WayTable,
-    pub services: HashMap<String, Arc<ServiceEnv>>,
+    pub services: HashMap<String, Arc<Service>>,
     pub header_bytes: usize,
     pub body_bytes: usize,
     pub idle_time: Duration,
@@ -20,7 +20,7 @@
 /// The proxy's whole state, passed down by reference. Lock order: `live`, `life`, `sched`, `tickets`,
 /// the pool's, the bank's, the trial's; none is held over a wait.
 pub struct App {
-    pub env: NodeEnv,
+    pub settings: NodeSettings,
     pub began: Instant,
     pub live: Mutex<Option<Arc<Live>>>,
     life: Mutex<InitializedStateMachine<Life>>,
@@ -38,10 +38,10 @@
 }
 
 impl App {
-    pub fn new(env: NodeEnv) -> Arc<Self> {
+    pub fn new(settings: NodeSettings) -> Arc<Self> {
         // A tenth of the memory is for chains that come back.
-        let cache_bytes = (env.limits.memory_mb << 20) as usize / 10;
-        let tuning = SchedulerTuning { area: env.area.clone(), ..SchedulerTuning::default() };
+        let cache_bytes = (settings.limits.memory_mb << 20) as usize / 10;
+        let tuning = SchedulerTuning { area: settings.area.clone(), ..SchedulerTuning::default() };
         Arc::new(App {
             began: Instant::now(),
             live: Mutex::new(None),
@@ -50,9 +50,9 @@
             sched: Mutex::new(Scheduler::new(tuning)),
             tickets: Mutex::new(HashMap::new()),
             pool: Pool::new(),
-            bank: Arc::new(TurnBank::new(&env, cache_bytes)),
-            trial: TrialDesk::new(&env.node_name),
-            env,
+            bank: Arc::new(TurnBank::new(&settings, cache_bytes)),
+            trial: TrialDesk::new(&settings.node_name),
+            settings,
         })
     }
 
--- a/crates/request-proxy/src/flow/mod.rs
+++ b/crates/request-proxy/src/flow/mod.rs
@@ -11,7 +11,7 @@
 pub struct Job<'a> {
     pub app: &'a Arc<App>,
     pub live: &'a Live,
-    pub way: &'a WayEnv,
+    pub way: &'a Route,
     pub service: Arc<str>,
     pub parts: &'a Arc<RequestParts>,
     pub head: &'a Head<'a>,
--- a/crates/request-proxy/src/lib.rs
+++ b/crates/request-proxy/src/lib.rs
@@ -16,9 +16,9 @@
     pub serving: tokio::task::JoinHandle<()>,
 }
 
-pub async fn run_proxy(env: NodeEnv) -> NodeResult<()> {
-    let grace = env.bounds.grace;
-    let run = start_proxy(env).await?;
+pub async fn run_proxy(settings: NodeSettings) -> NodeResult<()> {
+    let grace = settings.bounds.grace;
+    let run = start_proxy(settings).await?;
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|e| NodeError::Io { what: "SIGTERM".into(), source: e })?;
     term.recv().await;
@@ -26,22 +26,22 @@
     Ok(())
 }
 
-pub async fn start_proxy(env: NodeEnv) -> NodeResult<Running> {
+pub async fn start_proxy(settings: NodeSettings) -> NodeResult<Running> {
     let need = |a: Option<SocketAddr>, field: &str| {
-        a.ok_or_else(|| NodeError::BadEnv {
+        a.ok_or_else(|| NodeError::BadSettings {
             file: "settings".into(),
             field: field.into(),
             reason: "is missing; a proxy needs it".into(),
         })
     };
-    let front = need(env.listen.front, "listenAddresses.front")?;
-    let readiness = need(env.listen.readiness, "listenAddresses.readiness")?;
+    let front = need(settings.listen.front, "listenAddresses.front")?;
+    let readiness = need(settings.listen.readiness, "listenAddresses.readiness")?;
     let bind = |a: SocketAddr| async move {
         TcpListener::bind(a).await.map_err(|e| NodeError::Io { what: a.to_string(), source: e })
     };
     let front = bind(front).await?;
     let readiness = bind(readiness).await?;
-    let app = App::new(env);
+    let app = App::new(settings);
     app::follow_agent(&app);
     app::sweep_regularly(&app);
     app::report_outcomes(&app);
--- a/crates/request-proxy/src/prelude.rs
+++ b/crates/request-proxy/src/prelude.rs
@@ -12,13 +12,13 @@
     Call, CallPoint, ClaimDecision, ClaimTally, Epoch, Evidence, Hold, NewAttempt, Pinned,
     RecoverDecision, RecoverTally,
 };
-pub use feed_follow::prelude::{follow_cells, FeedItem, FeedView, FollowEnv, News, Topics};
+pub use feed_follow::prelude::{follow_cells, FeedItem, FeedView, FollowSettings, News, Topics};
 pub use http::request::Parts as RequestParts;
 pub use http::{HeaderMap, HeaderValue};
 pub use inner_protocol::prelude::*;
 pub use inner_protocol::stores::*;
 pub use operator_config::prelude::{
-    check_config, ConfigEnv, ServiceEnv, WayEnv, WayKind, WayTable,
+    check_config, OperatorConfig, Route, Service, WayKind, WayTable,
 };
 pub use outer_calls::prelude::*;
 pub use routing_trial::prelude::{
--- a/crates/request-proxy/src/turns/bank.rs
+++ b/crates/request-proxy/src/turns/bank.rs
@@ -126,13 +126,13 @@
 
 impl TurnBank {
     /// `cache_bytes` bounds the chains that are kept here.
-    pub fn new(env: &NodeEnv, cache_bytes: usize) -> Self {
+    pub fn new(settings: &NodeSettings, cache_bytes: usize) -> Self {
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         TurnBank {
-            zone: env.area.clone(),
-            node: fnv64(env.node_name.as_bytes()),
+            zone: settings.area.clone(),
+            node: fnv64(settings.node_name.as_bytes()),
             incarnation: AtomicU64::new(unix.map_or(1, |d| d.as_millis() as u64)),
-            limits: env.dispatcher,
+            limits: settings.dispatcher,
             began: Instant::now(),
             hold: Mutex::new((Hold::default(), HashMap::new())),
             set: Mutex::new(Arc::new(StoreSet::default())),
--- a/crates/spokebank/src/commands/mod.rs
+++ b/crates/spokebank/src/commands/mod.rs
@@ -56,7 +56,7 @@
     pub json: bool,
     /// the settings file, when not the one the environment names
     #[argh(option)]
-    pub env_file: Option<String>,
+    pub settings_file: Option<String>,
 }
 
 /// check an operator's configuration file; lists every fault with its place
@@ -69,25 +69,27 @@
 }
 
 /// Where the platform says the settings are.
-const ENV_FILE: &str = "SPOKEBANK_NODE_FILE";
-const ENV_DEFAULT: &str = "/etc/spokebank/settings.toml";
+const SETTINGS_FILE_VARIABLE: &str = "SPOKEBANK_NODE_FILE";
+const DEFAULT_SETTINGS_FILE: &str = "/etc/spokebank/settings.toml";
 
-fn node_env() -> NodeResult<NodeEnv> {
-    read_env(&std::env::var(ENV_FILE).unwrap_or_else(|_| ENV_DEFAULT.into()))
+fn node_settings() -> NodeResult<NodeSettings> {
+    read_settings(
+        &std::env::var(SETTINGS_FILE_VARIABLE).unwrap_or_else(|_| DEFAULT_SETTINGS_FILE.into()),
+    )
 }
 
 pub fn run(args: &Spokebank) -> NodeResult<i32> {
     match &args.command {
-        Command::Proxy(_) => serve(request_proxy::run_proxy(node_env()?)),
-        Command::Agent(_) => serve(feed_agent::run_agent(node_env()?)),
-        Command::Cell(_) => serve(control_cell::run_cell(node_env()?)),
-        Command::Store(_) => serve(turn_store::run_store(node_env()?)),
+        Command::Proxy(_) => serve(request_proxy::run_proxy(node_settings()?)),
+        Command::Agent(_) => serve(feed_agent::run_agent(node_settings()?)),
+        Command::Cell(_) => serve(control_cell::run_cell(node_settings()?)),
+        Command::Store(_) => serve(turn_store::run_store(node_settings()?)),
         Command::Doctor(d) => {
-            let env = match &d.env_file {
-                Some(f) => read_env(f)?,
-                None => node_env()?,
+            let settings = match &d.settings_file {
+                Some(f) => read_settings(f)?,
+                None => node_settings()?,
             };
-            block_on(doctor::run_doctor(&env, d.json))
+            block_on(doctor::run_doctor(&settings, d.json))
         }
         Command::Check(c) => check(&c.file),
         Command::Trial(t) => trial::run(t),
--- a/crates/spokebank/src/commands/trial.rs
+++ b/crates/spokebank/src/commands/trial.rs
@@ -1,5 +1,5 @@
 //! `spokebank trial ...`.
-use super::{block_on, node_env};
+use super::{block_on, node_settings};
 use crate::prelude::*;
 
 /// trial a new routing policy against the current one; docs/operators/trial.md explains it. Exit codes: 0
@@ -11,7 +11,7 @@
 pub struct TrialArgs {
     /// the settings file, when not the one the environment names
     #[argh(option)]
-    pub env_file: Option<String>,
+    pub settings_file: Option<String>,
     #[argh(subcommand)]
     pub command: TrialCommand,
 }
@@ -75,19 +75,19 @@
 }
 
 pub fn run(args: &TrialArgs) -> NodeResult<i32> {
-    let env = || match &args.env_file {
-        Some(f) => read_env(f),
-        None => node_env(),
+    let settings = || match &args.settings_file {
+        Some(f) => read_settings(f),
+        None => node_settings(),
     };
     let asked = match &args.command {
         TrialCommand::Check(c) => Ok(trial_tool::check(&c.file)),
-        TrialCommand::Start(s) => block_on(trial_tool::start(&env()?, &s.file)),
+        TrialCommand::Start(s) => block_on(trial_tool::start(&settings()?, &s.file)),
         TrialCommand::Watch(w) => {
-            block_on(trial_tool::watch(&env()?, Duration::from_secs(w.every.max(1))))
+            block_on(trial_tool::watch(&settings()?, Duration::from_secs(w.every.max(1))))
         }
-        TrialCommand::Stop(s) => block_on(trial_tool::stop(&env()?, s.at_once)),
+        TrialCommand::Stop(s) => block_on(trial_tool::stop(&settings()?, s.at_once)),
         TrialCommand::Verdict(v) => {
-            block_on(trial_tool::verdict(&env()?, v.json, v.plot.as_deref()))
+            block_on(trial_tool::verdict(&settings()?, v.json, v.plot.as_deref()))
         }
     };
     asked.or_else(|e| {
--- a/crates/spokebank/src/main.rs
+++ b/crates/spokebank/src/main.rs
@@ -12,7 +12,7 @@
         Ok(code) => code,
         Err(e) => {
             spdlog::error!("{}", e);
-            if matches!(e, NodeError::BadEnv { .. }) {
+            if matches!(e, NodeError::BadSettings { .. }) {
                 2
             } else {
                 1
--- a/crates/spokebank/tests/trial_commands.rs
+++ b/crates/spokebank/tests/trial_commands.rs
@@ -20,7 +20,7 @@
     let (code, said) =
         run(&["trial", "check"], &FILE.replace("stayMs = 1", "stayMs = \"x\""), "bad");
     assert!(code == 1 && said.contains("candidate.stayMs: is not a number"), "{said}");
-    let (code, said) = run(&["trial", "start"], &FILE.replace("id = \"t\"", ""), "no-env");
+    let (code, said) = run(&["trial", "start"], &FILE.replace("id = \"t\"", ""), "no-settings");
     assert_eq!(code, 2, "no settings: {said}");
     let none = Command::new(env!("CARGO_BIN_EXE_spokebank"))
         .args(["trial", "check", "/nowhere/at/all"])
--- a/crates/stand-ins/tests/routing_trial.rs
+++ b/crates/stand-ins/tests/routing_trial.rs
@@ -9,7 +9,14 @@
 const FRONTS: [&str; 2] = ["127.0.10.30:28149", "127.0.10.31:28149"];
 const CONTROL: &str = "127.0.10.1:28144";
 
-fn env(name: &str, class: &str, ip: &str, area: &str, dir: &Path, cloud: SocketAddr) -> NodeEnv {
+fn settings(
+    name: &str,
+    class: &str,
+    ip: &str,
+    area: &str,
+    dir: &Path,
+    cloud: SocketAddr,
+) -> NodeSettings {
     let listen = match class {
         "front" => format!("front = \"{ip}:28149\"\nreadiness = \"{ip}:28141\"\n"),
         "core" => format!("control = \"{ip}:28144\"\n"),
@@ -26,7 +33,7 @@
     );
     let file = dir.join(format!("{name}.toml"));
     std::fs::write(&file, text).unwrap();
-    node_base::env::read_env(&file.display().to_string()).unwrap()
+    node_base::settings::read_settings(&file.display().to_string()).unwrap()
 }
 
 fn config() -> String {
@@ -79,8 +86,8 @@
     call(FRONTS[front], "POST", "/t/x", &h, b"said").await.unwrap()
 }
 
-async fn told(env: &NodeEnv) -> Option<Box<TrialTold>> {
-    match ask_cells(env, TrialAsk::Tell).await {
+async fn told(settings: &NodeSettings) -> Option<Box<TrialTold>> {
+    match ask_cells(settings, TrialAsk::Tell).await {
         Ok(CellReply::Trial(t)) => t,
         _ => None,
     }
@@ -103,16 +110,16 @@
     let llm = Engine::start("i-llm", "127.0.10.40:0").await.unwrap();
     let row = ("llm".into(), llm.id.clone(), llm.addr.to_string(), "a".into(), "ready".into());
     let cloud = serve_platform("127.0.10.50:0", Arc::new(Mutex::new(vec![row]))).await.unwrap();
-    let core = env("core-1", "core", "127.0.10.1", "a", &dir, cloud);
+    let core = settings("core-1", "core", "127.0.10.1", "a", &dir, cloud);
     tokio::spawn(control_cell::run_cell(core.clone()));
     for (i, area) in ["a", "b", "c"].iter().enumerate() {
         let ip = format!("127.0.10.{}", 10 + i);
-        let e = env(&format!("store-{i}"), "storage", &ip, area, &dir, cloud);
+        let e = settings(&format!("store-{i}"), "storage", &ip, area, &dir, cloud);
         tokio::spawn(turn_store::run_store(e));
     }
     // Both proxies are fed by one agent, since the agent's port is that of the machine.
     let fronts = [("front-1", "127.0.10.30"), ("front-2", "127.0.10.31")]
-        .map(|(name, ip)| env(name, "front", ip, "a", &dir, cloud));
+        .map(|(name, ip)| settings(name, "front", ip, "a", &dir, cloud));
     tokio::spawn(feed_agent::run_agent(fronts[0].clone()));
     let mut proxies = Vec::new();
     for f in fronts {
--- a/crates/stand-ins/tests/whole_path.rs
+++ b/crates/stand-ins/tests/whole_path.rs
@@ -4,14 +4,14 @@
 
 const PORTS: u16 = 27_380;
 
-fn env(
+fn settings(
     name: &str,
     class: &str,
     ip: &str,
     area: &str,
     dir: &std::path::Path,
     cloud: SocketAddr,
-) -> NodeEnv {
+) -> NodeSettings {
     let mut listen = String::new();
     if class == "front" {
         listen = format!("front = \"{ip}:28149\"\nreadiness = \"{ip}:28141\"\n");
@@ -30,7 +30,7 @@
     );
     let file = dir.join(format!("{name}.toml"));
     std::fs::write(&file, text).unwrap();
-    node_base::env::read_env(&file.display().to_string()).unwrap()
+    node_base::settings::read_settings(&file.display().to_string()).unwrap()
 }
 
 fn config(serial: u64, extra: bool) -> String {
@@ -125,10 +125,10 @@
     let list =
         Arc::new(Mutex::new(vec![row("llm", &llm, "a"), row("app", &a, "a"), row("app", &b, "a")]));
     let cloud = serve_platform("127.0.9.50:0", list).await.unwrap();
-    tokio::spawn(control_cell::run_cell(env("core-1", "core", "127.0.9.1", "a", dir, cloud)));
+    tokio::spawn(control_cell::run_cell(settings("core-1", "core", "127.0.9.1", "a", dir, cloud)));
     for (i, area) in ["a", "b", "c"].iter().enumerate() {
         let ip = format!("127.0.9.{}", 10 + i);
-        tokio::spawn(turn_store::run_store(env(
+        tokio::spawn(turn_store::run_store(settings(
             &format!("store-{i}"),
             "storage",
             &ip,
@@ -137,7 +137,7 @@
             cloud,
         )));
     }
-    let front = env("front-1", "front", "127.0.9.30", "a", dir, cloud);
+    let front = settings("front-1", "front", "127.0.9.30", "a", dir, cloud);
     tokio::spawn(feed_agent::run_agent(front.clone()));
     (llm, [a, b], request_proxy::start_proxy(front).await.unwrap())
 }
--- a/crates/trial-tool/src/ask/mod.rs
+++ b/crates/trial-tool/src/ask/mod.rs
@@ -5,11 +5,11 @@
 
 /// Asks the cells that the settings name, one after the other, until one can answer. A cell that was
 /// reached and then fell silent may have done what was asked, so a start or a stop isn't asked again.
-pub async fn ask_cells(env: &NodeEnv, ask: TrialAsk) -> NodeResult<CellReply> {
+pub async fn ask_cells(settings: &NodeSettings, ask: TrialAsk) -> NodeResult<CellReply> {
     let reads = matches!(ask, TrialAsk::Tell);
     let call = CellCall::Trial { ask };
-    for seed in &env.seeds {
-        let addr = env.inner_addr(&seed.ip().to_string(), CELL_PORT);
+    for seed in &settings.seeds {
+        let addr = settings.inner_addr(&seed.ip().to_string(), CELL_PORT);
         match Caller::new(addr.clone()).call::<_, CellReply>(&call, WITHIN).await {
             Ok(CellReply::Unable) | Err(LinkError::Unreached) => {}
             Ok(r) => return Ok(r),
--- a/crates/trial-tool/src/lib.rs
+++ b/crates/trial-tool/src/lib.rs
@@ -49,13 +49,13 @@
     }
 }
 
-pub async fn start(env: &NodeEnv, file: &str) -> NodeResult<i32> {
+pub async fn start(settings: &NodeSettings, file: &str) -> NodeResult<i32> {
     let spec = match read(file) {
         Ok(s) => Box::new(s),
         Err(code) => return Ok(code),
     };
     let done = format!("trial {} runs", spec.id);
-    let r = ask_cells(env, TrialAsk::Start { spec }).await?;
+    let r = ask_cells(settings, TrialAsk::Start { spec }).await?;
     Ok(agreed(
         r,
         &done,
@@ -63,21 +63,21 @@
     ))
 }
 
-pub async fn stop(env: &NodeEnv, at_once: bool) -> NodeResult<i32> {
-    let r = ask_cells(env, TrialAsk::Stop { at_once }).await?;
+pub async fn stop(settings: &NodeSettings, at_once: bool) -> NodeResult<i32> {
+    let r = ask_cells(settings, TrialAsk::Stop { at_once }).await?;
     Ok(agreed(r, "stopped", "no trial runs"))
 }
 
-async fn told(env: &NodeEnv) -> NodeResult<Option<Box<TrialTold>>> {
-    match ask_cells(env, TrialAsk::Tell).await? {
+async fn told(settings: &NodeSettings) -> NodeResult<Option<Box<TrialTold>>> {
+    match ask_cells(settings, TrialAsk::Tell).await? {
         CellReply::Trial(t) => Ok(t),
         _ => Err(NodeError::Other { reason: "the cells could not tell".into() }),
     }
 }
 
 /// Prints the verdict, and draws the looks into `plot`.
-pub async fn verdict(env: &NodeEnv, json: bool, plot: Option<&str>) -> NodeResult<i32> {
-    let Some(t) = told(env).await? else {
+pub async fn verdict(settings: &NodeSettings, json: bool, plot: Option<&str>) -> NodeResult<i32> {
+    let Some(t) = told(settings).await? else {
         println!("{}", if json { "null" } else { "there was no trial yet" });
         return Ok(1);
     };
@@ -100,11 +100,11 @@
 }
 
 /// Prints a line whenever something changed, until the trial has ended; then the verdict.
-pub async fn watch(env: &NodeEnv, every: Duration) -> NodeResult<i32> {
+pub async fn watch(settings: &NodeSettings, every: Duration) -> NodeResult<i32> {
     let mut last = String::new();
     loop {
         // A cell that can't answer now is asked again: the trial goes on without us.
-        if let Ok(t) = told(env).await {
+        if let Ok(t) = told(settings).await {
             let Some(t) = t else {
                 println!("there was no trial yet");
                 return Ok(1);
--- a/crates/trial-tool/src/prelude.rs
+++ b/crates/trial-tool/src/prelude.rs
@@ -2,6 +2,6 @@
 pub use crate::ask::ask_cells;
 pub use crate::plot::draw_plot;
 pub use inner_protocol::cells::{CellCall, CellReply, Outcome, TrialAsk, TrialTold};
-pub use node_base::env::CELL_PORT;
 pub use node_base::prelude::*;
+pub use node_base::settings::CELL_PORT;
 pub use routing_trial::prelude::{check_spec, say, Evidence, Point, TrialSpec, Verdict};
--- a/crates/turn-store/src/lib.rs
+++ b/crates/turn-store/src/lib.rs
@@ -5,15 +5,15 @@
 pub mod tables;
 
 use crate::prelude::*;
-use node_base::env::STORE_PORT;
+use node_base::settings::STORE_PORT;
 
-pub async fn run_store(env: NodeEnv) -> NodeResult<()> {
-    let addr = env.own_addr(STORE_PORT);
+pub async fn run_store(settings: NodeSettings) -> NodeResult<()> {
+    let addr = settings.own_addr(STORE_PORT);
     let listener =
         TcpListener::bind(&addr).await.map_err(|e| NodeError::Io { what: addr, source: e })?;
-    let (store, status) = owner::start(&env)?;
+    let (store, status) = owner::start(&settings)?;
     let (tx, mut rx) = mpsc::channel(64);
-    tokio::spawn(follow_cells(FollowEnv::of_cells(&env), tx, status));
+    tokio::spawn(follow_cells(FollowSettings::of_cells(&settings), tx, status));
     let h = store.clone();
     tokio::spawn(async move {
         while let Some(n) = rx.recv().await {
--- a/crates/turn-store/src/owner/work.rs
+++ b/crates/turn-store/src/owner/work.rs
@@ -1,7 +1,7 @@
 //! The owner's loop.
 use super::copying::sync_with_all;
 use crate::prelude::*;
-use node_base::env::STORE_PORT;
+use node_base::settings::STORE_PORT;
 
 pub enum StoreCommand {
     Call(Box<StoreCall>, oneshot::Sender<StoreReply>),
@@ -78,9 +78,9 @@
 
 pub type StatusWatch = watch::Receiver<Option<StoreStatus>>;
 
-pub fn start(env: &NodeEnv) -> NodeResult<(StoreHandle, StatusWatch)> {
-    let Some(dir) = env.data_dir.clone() else {
-        return Err(NodeError::BadEnv {
+pub fn start(settings: &NodeSettings) -> NodeResult<(StoreHandle, StatusWatch)> {
+    let Some(dir) = settings.data_dir.clone() else {
+        return Err(NodeError::BadSettings {
             file: "settings".into(),
             field: "dataDirectory".into(),
             reason: "is missing; a store needs a disk".into(),
@@ -91,13 +91,13 @@
     let ident = match load_snapshot(&dir, "identity")?.and_then(|b| decode::<Identity>(&b)) {
         Some(i) => i,
         None => {
-            let whole = env.first_start.then_some((FIRST_VERSION, FIRST_VERSION));
+            let whole = settings.first_start.then_some((FIRST_VERSION, FIRST_VERSION));
             let i = Identity { id: fastrand::u64(1..), whole };
             save_snapshot(&dir, "identity", &encode(&i))?;
             i
         }
     };
-    let mut tables = StoreTables::new(Knowledge::new(ident.id, ident.whole), env.dispatcher);
+    let mut tables = StoreTables::new(Knowledge::new(ident.id, ident.whole), settings.dispatcher);
     let mut bad = 0u64;
     let log = SegmentLog::open(&dir.join("log"), |_, b| match decode::<Logged>(b) {
         Some(l) => tables.take(l, Duration::ZERO),
@@ -112,9 +112,9 @@
     }
     let status = StoreStatus {
         id: ident.id,
-        name: env.node_name.clone(),
-        addr: env.own_addr(STORE_PORT),
-        zone: env.area.clone(),
+        name: settings.node_name.clone(),
+        addr: settings.own_addr(STORE_PORT),
+        zone: settings.area.clone(),
         fresh: ident.whole.is_none(),
         version: 0,
         whole: ident.whole.map_or(0, |w| w.1),
@@ -123,12 +123,12 @@
     let (tx, rx) = mpsc::channel(4096);
     let handle = StoreHandle { queue: tx };
     let ends = (log.first_no()..=log.segment_no()).map(|n| (n, SEGMENT_KEPT)).collect();
-    let disk = env.limits.disk_mb.max(64) << 20;
+    let disk = settings.limits.disk_mb.max(64) << 20;
     let (due, due_rx) = watch::channel(0);
     tokio::spawn(sync_with_all(handle.clone(), ident.id, due_rx));
     let owner = Owner {
         dir,
-        name: env.node_name.clone(),
+        name: settings.node_name.clone(),
         ident,
         began: Instant::now(),
         tables,
--- a/crates/turn-store/src/prelude.rs
+++ b/crates/turn-store/src/prelude.rs
@@ -2,7 +2,7 @@
 pub use crate::knowledge::{Knowledge, Learnt};
 pub use crate::owner::{StoreCommand, StoreHandle};
 pub use crate::tables::{Logged, StoreTables};
-pub use feed_follow::prelude::{follow_cells, FeedItem, FollowEnv, News};
+pub use feed_follow::prelude::{follow_cells, FeedItem, FollowSettings, News};
 pub use inner_protocol::prelude::*;
 pub use inner_protocol::stores::*;
 pub use spdlog::info;
