--- a/crates/agreement/src/core/schedule_tests.rs
+++ b/crates/agreement/src/core/schedule_tests.rs
@@ -24,7 +24,7 @@
 }
 
 fn member(id: u64) -> Member {
-    Member { id, name: format!("n{id}"), addr: String::new(), area: String::new() }
+    Member { id, name: format!("n{id}"), addr: String::new(), zone: String::new() }
 }
 
 fn founders(ids: &[u64]) -> TermLog {
--- a/crates/control-cell/src/duties/members.rs
+++ b/crates/control-cell/src/duties/members.rs
@@ -1,7 +1,7 @@
 //! One member change at a time.
 use crate::prelude::*;
 
-/// Silence after which a member is replaced when another cell asks to come in at its area.
+/// Silence after which a member is replaced when another cell asks to come in at its zone.
 const REPLACED: Duration = Duration::from_millis(1500);
 /// Silence after which a member is left out with nobody in its place.
 const GONE: Duration = Duration::from_secs(20);
@@ -23,7 +23,7 @@
             m.id != me
                 && (m.name == j.name
                     || m.addr == j.addr
-                    || (m.area == j.area && silent(m.id) > REPLACED))
+                    || (m.zone == j.zone && silent(m.id) > REPLACED))
         });
         if let (Some(m), true) = (old, cur.len() > 1) {
             return Some(without(m.id));
@@ -44,8 +44,8 @@
 mod tests {
     use super::*;
 
-    fn m(id: u64, name: &str, area: &str) -> Member {
-        Member { id, name: name.into(), addr: format!("{name}:1"), area: area.into() }
+    fn m(id: u64, name: &str, zone: &str) -> Member {
+        Member { id, name: name.into(), addr: format!("{name}:1"), zone: zone.into() }
     }
 
     #[test]
@@ -61,7 +61,7 @@
     }
 
     #[test]
-    fn a_silent_one_gives_way_to_a_newcomer_of_its_area_only() {
+    fn a_silent_one_gives_way_to_a_newcomer_of_its_zone_only() {
         let cur = vec![m(1, "a", "x"), m(2, "b", "y"), m(3, "c", "z")];
         let silent = |id| if id == 2 { Duration::from_secs(3) } else { Duration::ZERO };
         let next = next_members(&cur, 1, &[m(9, "n", "y")], silent).unwrap();
--- a/crates/control-cell/src/duties/mod.rs
+++ b/crates/control-cell/src/duties/mod.rs
@@ -1,4 +1,4 @@
-//! What the leader sees to: who the members are, who holds each area, which stores count. Each duty
+//! What the leader sees to: who the members are, who holds each zone, which stores count. Each duty
 //! is a pure function from what is agreed and seen to the next change, if any.
 mod holders;
 mod members;
--- a/crates/control-cell/src/lib.rs
+++ b/crates/control-cell/src/lib.rs
@@ -1,4 +1,4 @@
-//! A cell: keeps its areas' engines and nodes, agrees with the other cells on the configuration, and
+//! A cell: keeps its zones' engines and nodes, agrees with the other cells on the configuration, and
 //! serves `control`.
 pub mod duties;
 pub mod follow;
--- a/crates/control-cell/src/listing/mod.rs
+++ b/crates/control-cell/src/listing/mod.rs
@@ -1,10 +1,10 @@
-//! Reads the platform's list for the areas this cell holds.
+//! Reads the platform's list for the zones this cell holds.
 mod pace;
 
 use crate::prelude::*;
 use pace::ListPace;
 
-/// The areas to read, each with the epoch that made this cell its holder.
+/// The zones to read, each with the epoch that made this cell its holder.
 pub type Held = BTreeMap<String, u64>;
 
 const WITHIN: Duration = Duration::from_millis(800);
@@ -21,13 +21,13 @@
     loop {
         let now: Held = held.borrow_and_update().clone();
         let mut failed = Duration::ZERO;
-        for (area, epoch) in now {
-            match list_area(cloud.address, &area, WITHIN).await {
+        for (zone, epoch) in now {
+            match list_zone(cloud.address, &zone, WITHIN).await {
                 Ok(list) => {
                     back.reset();
                     let engines: Vec<EngineEntry> = list.into_iter().map(entry_of).collect();
-                    pace.read(&area, &engines, began.elapsed());
-                    let cmd = CellCommand::Listed { area, epoch, engines };
+                    pace.read(&zone, &engines, began.elapsed());
+                    let cmd = CellCommand::Listed { zone, epoch, engines };
                     if out.send(cmd).await.is_err() {
                         return;
                     }
@@ -49,7 +49,7 @@
         id: e.id,
         service: e.service_name,
         addr: e.address,
-        area: e.zone,
+        zone: e.zone,
         slots: e.slot_count,
         cold_ms: if e.cold_remaining_ms > 0.0 { e.cold_remaining_ms as u64 } else { 0 },
     }
--- a/crates/control-cell/src/listing/pace/mod.rs
+++ b/crates/control-cell/src/listing/pace/mod.rs
@@ -1,4 +1,4 @@
-//! How often the platform's list is read: its calls are priced and their rate is bounded, so calm areas
+//! How often the platform's list is read: its calls are priced and their rate is bounded, so calm zones
 //! are read no more often than the order of leaving engines needs, and changing ones at once again.
 #[cfg(test)]
 mod tests;
@@ -6,40 +6,40 @@
 use crate::prelude::*;
 
 const QUICK: Duration = Duration::from_millis(1100);
-/// Changes come in rows: for this long after one the area is read quickly.
+/// Changes come in rows: for this long after one the zone is read quickly.
 const LIVELY: Duration = Duration::from_secs(6);
 
 /// Invariant: `calm` leaves, after the longest pause, more than half of the time in which leaving
 /// engines are to be left alone for the news to travel and for one lost reader to be replaced.
 pub struct ListPace {
     calm: Duration,
-    /// Of each area what its last list said, and until when it is read quickly.
-    areas: BTreeMap<String, (u64, Duration)>,
+    /// Of each zone what its last list said, and until when it is read quickly.
+    zones: BTreeMap<String, (u64, Duration)>,
 }
 
 impl ListPace {
     /// `drain`: the time from the list's showing that an engine leaves to the last send to it.
     pub fn new(drain: Duration) -> Self {
-        ListPace { calm: drain.mul_f64(0.45).clamp(QUICK, QUICK * 2), areas: BTreeMap::new() }
+        ListPace { calm: drain.mul_f64(0.45).clamp(QUICK, QUICK * 2), zones: BTreeMap::new() }
     }
 
-    /// An area's list was read.
-    pub fn read(&mut self, area: &str, engines: &[EngineEntry], now: Duration) {
+    /// An zone's list was read.
+    pub fn read(&mut self, zone: &str, engines: &[EngineEntry], now: Duration) {
         let said = engines.iter().fold(0u64, |h, e| {
             // Any order of the same entries is the same list.
             h.wrapping_add(fnv64(format!("{}|{}|{}", e.id, e.addr, e.draining).as_bytes()))
         });
-        match self.areas.get_mut(area) {
+        match self.zones.get_mut(zone) {
             Some((old, _)) if *old == said => {}
             _ => {
-                self.areas.insert(area.to_string(), (said, now + LIVELY));
+                self.zones.insert(zone.to_string(), (said, now + LIVELY));
             }
         }
     }
 
-    /// The pause before the held areas are read again.
+    /// The pause before the held zones are read again.
     pub fn pause(&self, now: Duration) -> Duration {
-        match self.areas.values().any(|(_, until)| now < *until) {
+        match self.zones.values().any(|(_, until)| now < *until) {
             true => QUICK,
             false => self.calm,
         }
--- a/crates/control-cell/src/listing/pace/tests.rs
+++ b/crates/control-cell/src/listing/pace/tests.rs
@@ -15,7 +15,7 @@
                     id: format!("i-{id}"),
                     service: "s".into(),
                     addr: format!("10.0.0.{id}:80"),
-                    area: "a".into(),
+                    zone: "a".into(),
                     slots: 4,
                     draining: u.ratio(1, 6)?,
                     cold_ms: 0,
--- a/crates/control-cell/src/operator/mod.rs
+++ b/crates/control-cell/src/operator/mod.rs
@@ -91,7 +91,7 @@
     };
     let change = Change::PutConfig {
         base,
-        serial: cfg.serial,
+        version: cfg.version,
         digest: digest_of(&body),
         body: ByteBuf::from(body.to_vec()),
     };
--- a/crates/control-cell/src/owner/agree.rs
+++ b/crates/control-cell/src/owner/agree.rs
@@ -141,7 +141,7 @@
                         } else if was_trial {
                             self.publish_trial();
                         } else {
-                            self.hold_areas();
+                            self.hold_zones();
                         }
                     }
                     Some(out)
--- a/crates/control-cell/src/owner/feed.rs
+++ b/crates/control-cell/src/owner/feed.rs
@@ -78,14 +78,14 @@
         let index = self.agree.log.members_index();
         self.publish_cells(index);
         self.publish_trial();
-        self.hold_areas();
+        self.hold_zones();
         true
     }
 
     fn config_item(&self) -> Option<FeedItem> {
         self.state.config.as_ref().map(|c| FeedItem::Config {
             index: c.index,
-            serial: c.serial,
+            version: c.version,
             body: c.body.clone(),
         })
     }
@@ -94,15 +94,15 @@
         let Some(c) = &self.state.config else {
             return;
         };
-        let (index, serial, body) = (c.index, c.serial, c.body.clone());
+        let (index, version, body) = (c.index, c.version, c.body.clone());
         let patch =
             self.feed.told_config.take().map(|(base, old)| (base, Patch::between(&old, &body)));
-        self.feed.told_config = Some((serial, body.clone()));
+        self.feed.told_config = Some((version, body.clone()));
         self.feed.publish(match patch {
             Some((base, patch)) if patch.size() < body.len() / 2 => {
-                FeedItem::ConfigPatch { index, serial, base, patch }
+                FeedItem::ConfigPatch { index, version, base, patch }
             }
-            _ => FeedItem::Config { index, serial, body },
+            _ => FeedItem::Config { index, version, body },
         });
     }
 
@@ -122,7 +122,7 @@
         FeedItem::Cells {
             index,
             addrs: members.iter().map(|m| m.addr.clone()).collect(),
-            zones: members.iter().map(|m| m.area.clone()).collect(),
+            zones: members.iter().map(|m| m.zone.clone()).collect(),
         }
     }
 
@@ -141,7 +141,7 @@
             }
             list.push(self.cells_item(self.agree.log.members_index()));
             list.extend(self.trial_item());
-            list.extend(self.tables.values().cloned().map(FeedItem::Area));
+            list.extend(self.tables.values().cloned().map(FeedItem::Zone));
             items.extend(list.into_iter().map(|item| Numbered { no: self.feed.no, item }));
         }
         items.push(Numbered { no: self.feed.no, item: FeedItem::Current });
@@ -167,10 +167,10 @@
         self.feed.send(&n);
     }
 
-    // Areas.
+    // Zones.
 
     /// Which lists this cell reads.
-    pub fn hold_areas(&mut self) {
+    pub fn hold_zones(&mut self) {
         let mine = self
             .state
             .holders
@@ -187,9 +187,9 @@
         });
     }
 
-    pub fn listed(&mut self, area: String, epoch: u64, engines: Vec<EngineEntry>) {
+    pub fn listed(&mut self, zone: String, epoch: u64, engines: Vec<EngineEntry>) {
         let first = self.lives << 32;
-        let seq = match self.tables.get(&area) {
+        let seq = match self.tables.get(&zone) {
             Some(t) if t.epoch > epoch => return,
             Some(t) if t.epoch == epoch && t.seq >= first => {
                 // What merely ages is no news.
@@ -209,12 +209,12 @@
             // A table of this cell's life before, or of another holder, is told anew whatever it says.
             _ => first,
         };
-        let table = AreaTable { area, epoch, seq, engines };
+        let table = ZoneTable { zone, epoch, seq, engines };
         self.take_table(table.clone());
         self.tell_table(&table);
     }
 
-    pub fn tell_table(&mut self, table: &AreaTable) {
+    pub fn tell_table(&mut self, table: &ZoneTable) {
         let addrs: Vec<String> = self.agree.log.members().iter().map(|m| m.addr.clone()).collect();
         for a in addrs {
             if a != self.me.addr {
@@ -223,14 +223,14 @@
         }
     }
 
-    pub fn take_table(&mut self, table: AreaTable) {
+    pub fn take_table(&mut self, table: ZoneTable) {
         let newer = self
             .tables
-            .get(&table.area)
+            .get(&table.zone)
             .is_none_or(|t| (table.epoch, table.seq) > (t.epoch, t.seq));
         if newer {
-            self.feed.publish(FeedItem::Area(table.clone()));
-            self.tables.insert(table.area.clone(), table);
+            self.feed.publish(FeedItem::Zone(table.clone()));
+            self.tables.insert(table.zone.clone(), table);
         }
     }
 }
--- a/crates/control-cell/src/owner/feed/tests.rs
+++ b/crates/control-cell/src/owner/feed/tests.rs
@@ -2,12 +2,12 @@
 use crate::prelude::*;
 
 fn config(n: u64, size: usize) -> FeedItem {
-    FeedItem::Config { index: n, serial: n, body: ByteBuf::from(vec![b'x'; size]) }
+    FeedItem::Config { index: n, version: n, body: ByteBuf::from(vec![b'x'; size]) }
 }
 
 fn patch(n: u64) -> FeedItem {
     let p = Patch::between(b"{a}{b}", b"{a}{c}");
-    FeedItem::ConfigPatch { index: n, serial: n, base: n - 1, patch: p }
+    FeedItem::ConfigPatch { index: n, version: n, base: n - 1, patch: p }
 }
 
 fn told(rx: &mut mpsc::Receiver<Bytes>) -> Vec<FeedItem> {
@@ -32,9 +32,9 @@
     let mut agent = follow(Topics::All, true);
     let mut old_agent = follow(Topics::All, false);
     let mut store = follow(Topics::Stores, true);
-    let area = AreaTable { area: "a".into(), epoch: 1, seq: 1, engines: Vec::new() };
+    let zone = ZoneTable { zone: "a".into(), epoch: 1, seq: 1, engines: Vec::new() };
     let stores = FeedItem::Stores(StoreSet { version: 3, ..StoreSet::default() });
-    let row = [config(1, 9), FeedItem::Area(area), stores.clone(), patch(2), config(3, 9)];
+    let row = [config(1, 9), FeedItem::Zone(zone), stores.clone(), patch(2), config(3, 9)];
     for item in &row {
         book.publish(item.clone());
     }
--- a/crates/control-cell/src/owner/handle.rs
+++ b/crates/control-cell/src/owner/handle.rs
@@ -11,7 +11,7 @@
     /// Outcomes from nodes that follow this cell.
     Outcomes(Vec<NodeReport>),
     Listed {
-        area: String,
+        zone: String,
         epoch: u64,
         engines: Vec<EngineEntry>,
     },
--- a/crates/control-cell/src/owner/lead.rs
+++ b/crates/control-cell/src/owner/lead.rs
@@ -7,7 +7,7 @@
 const JOINER_KEPT: Duration = Duration::from_secs(2);
 const LEAVING_KEPT: Duration = Duration::from_secs(6);
 
-/// A holder that hasn't answered for this long gives its areas to another: the platform's list must be
+/// A holder that hasn't answered for this long gives its zones to another: the platform's list must be
 /// read well within the time in which leaving engines are to be left alone.
 const HOLDER_SILENT: Duration = Duration::from_millis(600);
 
@@ -20,10 +20,10 @@
         self.beat_feed(now);
         if now >= self.next_table {
             self.next_table = now + Duration::from_millis(2500);
-            let mine: Vec<AreaTable> = self
+            let mine: Vec<ZoneTable> = self
                 .tables
                 .values()
-                .filter(|t| self.state.holders.get(&t.area) == Some(&self.me.id))
+                .filter(|t| self.state.holders.get(&t.zone) == Some(&self.me.id))
                 .cloned()
                 .collect();
             for t in mine {
@@ -95,7 +95,7 @@
         };
         let members = self.agree.log.members().to_vec();
 
-        // A founder's entry learns its name and area when the cell itself tells them.
+        // A founder's entry learns its name and zone when the cell itself tells them.
         let named: Vec<Member> = members
             .iter()
             .map(|m| match self.joiners.get(&m.id) {
@@ -112,9 +112,9 @@
             return self.propose(Body::Members(next), None);
         }
 
-        let areas: BTreeSet<String> = self.settings.areas.keys().cloned().collect();
+        let zones: BTreeSet<String> = self.settings.zones.keys().cloned().collect();
         let alive = |id: u64| !self.leaving.contains_key(&id) && silent(id) < HOLDER_SILENT;
-        if let Some(holders) = next_holders(&self.state.holders, &areas, &members, alive) {
+        if let Some(holders) = next_holders(&self.state.holders, &zones, &members, alive) {
             return self.change(Change::PutHolders { holders });
         }
 
--- a/crates/control-cell/src/owner/work.rs
+++ b/crates/control-cell/src/owner/work.rs
@@ -39,7 +39,7 @@
     pub unconfirmed: HashMap<u64, Reader>,
     pub unapplied: Vec<(u64, Reader)>,
     pub feed: FeedBook,
-    pub tables: BTreeMap<String, AreaTable>,
+    pub tables: BTreeMap<String, ZoneTable>,
     pub sights: HashMap<u64, (StoreStatus, Instant)>,
     pub joiners: HashMap<u64, (Member, Instant)>,
     pub leaving: HashMap<u64, Instant>,
@@ -89,7 +89,7 @@
                                 id: id_of_founder(a),
                                 name: String::new(),
                                 addr: a.clone(),
-                                area: String::new(),
+                                zone: String::new(),
                             })
                             .collect();
                         log.snap.members.dedup();
@@ -100,7 +100,7 @@
             };
         save_snapshot(&dir, "identity", &encode(&(id, lives)))?;
         let me =
-            Member { id, name: settings.node_name.clone(), addr: own, area: settings.area.clone() };
+            Member { id, name: settings.node_name.clone(), addr: own, zone: settings.zone.clone() };
         let state = match log.snap.data.is_empty() {
             true => CellState::default(),
             // Another version's state is not dropped for an empty one.
@@ -204,7 +204,7 @@
             CellCommand::Outcomes(reports) => self.took_outcomes(reports),
             CellCommand::Tell(_) => {}
             CellCommand::Call(call, reply) => return self.called(call, reply),
-            CellCommand::Listed { area, epoch, engines } => self.listed(area, epoch, engines),
+            CellCommand::Listed { zone, epoch, engines } => self.listed(zone, epoch, engines),
             CellCommand::Follow { feed, no, wants, reply } => {
                 return self.confirm_for(Reader::Follow { feed, no, wants, reply });
             }
@@ -339,7 +339,7 @@
                 .map_or(0, |d| d.as_millis() as u64),
             commit: self.agree.commit,
             applied: self.agree.applied,
-            config_serial: self.state.config_serial(),
+            config_version: self.state.config_version(),
             members: self.agree.log.members().iter().filter_map(|m| name(&m.id)).collect(),
             stores: self
                 .state
@@ -348,7 +348,7 @@
                 .iter()
                 .map(|s| (s.name.clone(), format!("{:?}", s.state), s.addr.clone()))
                 .collect(),
-            areas: self
+            zones: self
                 .state
                 .holders
                 .iter()
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -8,7 +8,7 @@
     Snapshot, TrialAsk, TrialTold,
 };
 pub use inner_protocol::feed::{
-    AreaTable, EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics,
+    EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics, ZoneTable,
 };
 pub use inner_protocol::patch::Patch;
 pub use inner_protocol::prelude::*;
--- a/crates/control-cell/src/state/mod.rs
+++ b/crates/control-cell/src/state/mod.rs
@@ -6,12 +6,12 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct TakenConfig {
     pub index: u64,
-    pub serial: u64,
+    pub version: u64,
     pub digest: u64,
     pub body: ByteBuf,
 }
 
-/// Invariants: `config.serial` only grows; `taken` names every configuration taken, oldest first, so
+/// Invariants: `config.version` only grows; `taken` names every configuration taken, oldest first, so
 /// that one sent again is known; `stores.version` grows by each change.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct CellState {
@@ -20,7 +20,7 @@
     pub stores: StoreSet,
     pub stores_index: u64,
     pub holders: BTreeMap<String, u64>,
-    /// The log index at which an area's holder was last named.
+    /// The log index at which an zone's holder was last named.
     pub epochs: BTreeMap<String, u64>,
     /// The routing trial that runs, or the last one, and the log index that brought it. Missing in
     /// snapshots older than trials.
@@ -31,28 +31,28 @@
 }
 
 impl CellState {
-    pub fn config_serial(&self) -> u64 {
-        self.config.as_ref().map_or(0, |c| c.serial)
+    pub fn config_version(&self) -> u64 {
+        self.config.as_ref().map_or(0, |c| c.version)
     }
 
     pub fn apply(&mut self, index: u64, change: Change) -> Outcome {
         match change {
-            Change::PutConfig { base, serial, digest, body } => {
-                if self.taken.contains(&(serial, digest)) {
+            Change::PutConfig { base, version, digest, body } => {
+                if self.taken.contains(&(version, digest)) {
                     return Outcome::TakenBefore;
                 }
-                let cur = self.config_serial();
+                let cur = self.config_version();
                 if base != cur {
                     return Outcome::Conflict;
                 }
-                if serial <= cur {
+                if version <= cur {
                     return Outcome::NotAbove;
                 }
-                self.taken.push_back((serial, digest));
+                self.taken.push_back((version, digest));
                 if self.taken.len() > MOST_TAKEN {
                     self.taken.pop_front();
                 }
-                self.config = Some(TakenConfig { index, serial, digest, body });
+                self.config = Some(TakenConfig { index, version, digest, body });
                 Outcome::Taken
             }
             Change::PutStores { base, mut set } => {
@@ -65,9 +65,9 @@
                 Outcome::Taken
             }
             Change::PutHolders { holders } => {
-                for (area, id) in &holders {
-                    if self.holders.get(area) != Some(id) {
-                        self.epochs.insert(area.clone(), index);
+                for (zone, id) in &holders {
+                    if self.holders.get(zone) != Some(id) {
+                        self.epochs.insert(zone.clone(), index);
                     }
                 }
                 self.holders = holders;
--- a/crates/control-cell/tests/state.rs
+++ b/crates/control-cell/tests/state.rs
@@ -2,8 +2,8 @@
 use control_cell::prelude::*;
 use control_cell::state::digest_of;
 
-fn put(base: u64, serial: u64, digest: u64) -> Change {
-    Change::PutConfig { base, serial, digest, body: ByteBuf::from(vec![digest as u8]) }
+fn put(base: u64, version: u64, digest: u64) -> Change {
+    Change::PutConfig { base, version, digest, body: ByteBuf::from(vec![digest as u8]) }
 }
 
 #[test]
@@ -16,7 +16,7 @@
     assert_eq!(st.apply(5, put(0, 3, 1)), Outcome::TakenBefore);
     assert_eq!(st.apply(6, put(5, 5, 9)), Outcome::NotAbove);
     assert_eq!(st.apply(7, put(3, 5, 9)), Outcome::Conflict);
-    assert_eq!(st.config_serial(), 5);
+    assert_eq!(st.config_version(), 5);
 }
 
 #[test]
@@ -24,11 +24,11 @@
     let trace = r#"[[0,4,"Taken"],[4,9,"Taken"],[4,8,"Conflict"],[9,9,"NotAbove"],[9,2,"NotAbove"],[9,12,"Taken"]]"#;
     let rows: Vec<(u64, u64, String)> = serde_json::from_str(trace).unwrap();
     let mut st = CellState::default();
-    for (i, (base, serial, want)) in rows.into_iter().enumerate() {
-        let got = st.apply(i as u64 + 1, put(base, serial, 100 + i as u64));
+    for (i, (base, version, want)) in rows.into_iter().enumerate() {
+        let got = st.apply(i as u64 + 1, put(base, version, 100 + i as u64));
         assert_eq!(format!("{got:?}"), want, "row {i}");
     }
-    assert_eq!(st.config_serial(), 12);
+    assert_eq!(st.config_version(), 12);
 }
 
 #[test]
--- a/crates/doctor/src/facts/mod.rs
+++ b/crates/doctor/src/facts/mod.rs
@@ -32,7 +32,7 @@
     pub cells: Vec<CellFact>,
     pub stores: Vec<StoreFact>,
     pub disk: Option<DiskFact>,
-    /// Engines on the platform's list by area; none when it couldn't be read.
+    /// Engines on the platform's list by zone; none when it couldn't be read.
     pub listed: BTreeMap<String, Option<usize>>,
 }
 
@@ -80,9 +80,9 @@
         f.stores.push(StoreFact { name, state, addr, told });
     }
     if let Some(cloud) = &settings.cloud {
-        for area in settings.areas.keys() {
-            let n = list_area(cloud.address, area, WITHIN).await.ok().map(|l| l.len());
-            f.listed.insert(area.clone(), n);
+        for zone in settings.zones.keys() {
+            let n = list_zone(cloud.address, zone, WITHIN).await.ok().map(|l| l.len());
+            f.listed.insert(zone.clone(), n);
         }
     }
     f.disk = settings.data_dir.as_deref().map(|d| look_at_disk(d, settings.limits.disk_mb << 20));
--- a/crates/doctor/src/findings/mod.rs
+++ b/crates/doctor/src/findings/mod.rs
@@ -35,7 +35,7 @@
         return out;
     }
     let newest = told.iter().map(|t| t.applied).max().unwrap_or(0);
-    let serial = told.iter().map(|t| t.config_serial).max().unwrap_or(0);
+    let version = told.iter().map(|t| t.config_version).max().unwrap_or(0);
     let leaders: BTreeSet<&str> = told.iter().filter_map(|t| t.leader.as_deref()).collect();
     match leaders.len() {
         0 => say(
@@ -51,10 +51,10 @@
         ),
     }
     for t in &told {
-        if t.config_serial < serial {
+        if t.config_version < version {
             say(
                 &t.name,
-                format!("is at configuration {} of {serial}", t.config_serial),
+                format!("is at configuration {} of {version}", t.config_version),
                 "ask again in a second; if it stays so, look for a cut around this cell",
             );
         } else if t.applied + 50 < newest {
@@ -65,7 +65,7 @@
             );
         }
     }
-    if serial == 0 {
+    if version == 0 {
         say("core", "no configuration was taken yet".into(), "PUT /config with If-Match: 0");
     }
     let best = told.iter().max_by_key(|t| t.applied);
@@ -77,14 +77,14 @@
                 "with fewer than three the loss of one stops every change; add core machines",
             );
         }
-        for (area, holder, engines) in &t.areas {
+        for (zone, holder, engines) in &t.zones {
             if holder.is_none() {
-                say(area, "no living cell holds this area".into(), "see that a leader is there");
+                say(zone, "no living cell holds this zone".into(), "see that a leader is there");
             }
-            if let Some(Some(listed)) = f.listed.get(area) {
+            if let Some(Some(listed)) = f.listed.get(zone) {
                 if listed.abs_diff(*engines) > 0 {
                     say(
-                        area,
+                        zone,
                         format!("{engines} engines are known and {listed} are listed"),
                         "right after a change ask again; else see the holder's way to the platform",
                     );
@@ -92,16 +92,16 @@
             }
         }
     }
-    for (area, n) in &f.listed {
+    for (zone, n) in &f.listed {
         if n.is_none() {
             say(
-                area,
+                zone,
                 "the platform's list can't be read".into(),
                 "see cloudApi.address and its rate",
             );
         }
     }
-    let set = f.stores.iter().filter_map(|s| s.told).map(|(serial, _, _)| serial).max();
+    let set = f.stores.iter().filter_map(|s| s.told).map(|(version, _, _)| version).max();
     let counted = f.stores.iter().filter(|s| s.state == "Seated").count();
     if counted < 3 && !f.stores.is_empty() {
         say(
@@ -179,9 +179,9 @@
                 name: name.into(),
                 leader: Some("c1".into()),
                 applied: 9,
-                config_serial: 4,
+                config_version: 4,
                 members: vec!["c1".into(), "c2".into(), "c3".into()],
-                areas: vec![("a".into(), Some("c1".into()), 2)],
+                zones: vec![("a".into(), Some("c1".into()), 2)],
                 ..CellTold::default()
             }),
             clock_off: Duration::ZERO,
@@ -216,9 +216,9 @@
                 "no cell knows a leader",
             ),
             (|f| f.cells[0].told.as_mut().unwrap().leader = Some("c2".into()), "several leaders"),
-            (|f| f.cells[1].told.as_mut().unwrap().config_serial = 3, "configuration 3 of 4"),
+            (|f| f.cells[1].told.as_mut().unwrap().config_version = 3, "configuration 3 of 4"),
             (
-                |f| f.cells.iter_mut().for_each(|c| c.told.as_mut().unwrap().areas[0].1 = None),
+                |f| f.cells.iter_mut().for_each(|c| c.told.as_mut().unwrap().zones[0].1 = None),
                 "no living cell",
             ),
             (
--- a/crates/doctor/src/prelude.rs
+++ b/crates/doctor/src/prelude.rs
@@ -6,4 +6,4 @@
 pub use inner_protocol::stores::{StoreCall, StoreReply};
 pub use node_base::disk::verify_segments;
 pub use node_base::settings::{CELL_PORT, STORE_PORT};
-pub use outer_calls::prelude::{list_area, ListError};
+pub use outer_calls::prelude::{list_zone, ListError};
--- a/crates/feed-agent/tests/keeper.rs
+++ b/crates/feed-agent/tests/keeper.rs
@@ -13,7 +13,7 @@
     let mut early = k.open();
     let first = early.try_recv().unwrap();
     assert!(!first.iter().any(|n| n.item == FeedItem::Current));
-    let cfg = FeedItem::Config { index: 1, serial: 3, body: ByteBuf::new() };
+    let cfg = FeedItem::Config { index: 1, version: 3, body: ByteBuf::new() };
     k.take(vec![cfg.clone(), FeedItem::Current, cfg.clone()]);
     assert_eq!(early.try_recv().unwrap()[0].item, cfg);
     assert_eq!(early.try_recv().unwrap()[0].item, FeedItem::Current);
--- a/crates/feed-follow/src/base/mod.rs
+++ b/crates/feed-follow/src/base/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::prelude::*;
 
-/// Invariant: `last` is the configuration the followed feed told last, by serial.
+/// Invariant: `last` is the configuration the followed feed told last, by version.
 #[derive(Debug, Default)]
 pub struct PatchBase {
     last: Option<(u64, ByteBuf)>,
@@ -14,15 +14,15 @@
     /// The item, with a difference made whole; none when it isn't one to what was told last.
     pub fn whole(&mut self, item: FeedItem) -> Option<FeedItem> {
         match item {
-            FeedItem::Config { serial, ref body, .. } => {
-                self.last = Some((serial, body.clone()));
+            FeedItem::Config { version, ref body, .. } => {
+                self.last = Some((version, body.clone()));
                 Some(item)
             }
-            FeedItem::ConfigPatch { index, serial, base, patch } => {
+            FeedItem::ConfigPatch { index, version, base, patch } => {
                 let (_, old) = self.last.as_ref().filter(|(s, _)| *s == base)?;
                 let body = ByteBuf::from(patch.apply(old)?);
-                self.last = Some((serial, body.clone()));
-                Some(FeedItem::Config { index, serial, body })
+                self.last = Some((version, body.clone()));
+                Some(FeedItem::Config { index, version, body })
             }
             _ => Some(item),
         }
--- a/crates/feed-follow/src/base/tests.rs
+++ b/crates/feed-follow/src/base/tests.rs
@@ -12,10 +12,10 @@
         let mut b = PatchBase::default();
         let mut knows = 0;
         for n in 1..=u.int_in_range(2..=20u64)? {
-            let whole = FeedItem::Config { index: n, serial: n, body: body(n) };
+            let whole = FeedItem::Config { index: n, version: n, body: body(n) };
             let patch = Patch::between(&body(n - 1), &body(n));
             let item = match u.ratio(4, 5)? {
-                true => FeedItem::ConfigPatch { index: n, serial: n, base: n - 1, patch },
+                true => FeedItem::ConfigPatch { index: n, version: n, base: n - 1, patch },
                 false => whole.clone(),
             };
             if u.ratio(1, 6)? {
--- a/crates/feed-follow/src/link/mod.rs
+++ b/crates/feed-follow/src/link/mod.rs
@@ -31,7 +31,7 @@
             seeds: settings.seeds.iter().map(cell).collect(),
             feed_port: settings.internal_ports.0 + FEED_PORT,
             fixed: false,
-            zone: settings.area.clone(),
+            zone: settings.zone.clone(),
             topics: Topics::Stores,
             silence: Duration::from_millis(1000),
             repeat: Duration::from_millis(400),
--- a/crates/feed-follow/src/prelude.rs
+++ b/crates/feed-follow/src/prelude.rs
@@ -4,7 +4,7 @@
 pub use crate::rank::CellRank;
 pub use crate::view::FeedView;
 pub use inner_protocol::feed::{
-    AreaTable, EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics,
+    EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics, ZoneTable,
 };
 pub use inner_protocol::patch::Patch;
 pub use inner_protocol::prelude::*;
--- a/crates/feed-follow/src/view/mod.rs
+++ b/crates/feed-follow/src/view/mod.rs
@@ -2,12 +2,12 @@
 use crate::prelude::*;
 
 /// Invariant: no topic ever goes back: configurations, cells and trials by log index, the store set by
-/// its version, an area by (epoch, seq).
+/// its version, an zone by (epoch, seq).
 #[derive(Debug, Clone, Default)]
 pub struct FeedView {
     pub config: Option<(u64, u64, ByteBuf)>,
     pub stores: StoreSet,
-    pub areas: BTreeMap<String, AreaTable>,
+    pub zones: BTreeMap<String, ZoneTable>,
     pub cells: (u64, Vec<String>),
     /// The routing trial, by log index.
     pub trial: Option<(u64, Box<TrialRecord>)>,
@@ -19,11 +19,11 @@
     /// True when the item is news.
     pub fn take(&mut self, item: &FeedItem) -> bool {
         match item {
-            FeedItem::Config { index, serial, body } => {
+            FeedItem::Config { index, version, body } => {
                 let newer =
-                    self.config.as_ref().is_none_or(|(i, s, _)| *index > *i && *serial > *s);
+                    self.config.as_ref().is_none_or(|(i, s, _)| *index > *i && *version > *s);
                 if newer {
-                    self.config = Some((*index, *serial, body.clone()));
+                    self.config = Some((*index, *version, body.clone()));
                 }
                 newer
             }
@@ -34,11 +34,11 @@
                 }
                 newer
             }
-            FeedItem::Area(t) => {
+            FeedItem::Zone(t) => {
                 let newer =
-                    self.areas.get(&t.area).is_none_or(|o| (t.epoch, t.seq) > (o.epoch, o.seq));
+                    self.zones.get(&t.zone).is_none_or(|o| (t.epoch, t.seq) > (o.epoch, o.seq));
                 if newer {
-                    self.areas.insert(t.area.clone(), t.clone());
+                    self.zones.insert(t.zone.clone(), t.clone());
                 }
                 newer
             }
@@ -66,13 +66,13 @@
     /// Everything, for one who begins.
     pub fn snapshot(&self) -> Vec<FeedItem> {
         let mut out = Vec::new();
-        if let Some((index, serial, body)) = &self.config {
-            out.push(FeedItem::Config { index: *index, serial: *serial, body: body.clone() });
+        if let Some((index, version, body)) = &self.config {
+            out.push(FeedItem::Config { index: *index, version: *version, body: body.clone() });
         }
         if self.stores.version > 0 {
             out.push(FeedItem::Stores(self.stores.clone()));
         }
-        out.extend(self.areas.values().cloned().map(FeedItem::Area));
+        out.extend(self.zones.values().cloned().map(FeedItem::Zone));
         out.push(FeedItem::Cells {
             index: self.cells.0,
             addrs: self.cells.1.clone(),
--- a/crates/feed-follow/tests/view.rs
+++ b/crates/feed-follow/tests/view.rs
@@ -2,12 +2,12 @@
 use feed_follow::prelude::*;
 use routing_trial::prelude::check_spec;
 
-fn config(index: u64, serial: u64) -> FeedItem {
-    FeedItem::Config { index, serial, body: ByteBuf::new() }
+fn config(index: u64, version: u64) -> FeedItem {
+    FeedItem::Config { index, version, body: ByteBuf::new() }
 }
 
-fn area(epoch: u64, seq: u64) -> FeedItem {
-    FeedItem::Area(AreaTable { area: "a".into(), epoch, seq, engines: Vec::new() })
+fn zone(epoch: u64, seq: u64) -> FeedItem {
+    FeedItem::Zone(ZoneTable { zone: "a".into(), epoch, seq, engines: Vec::new() })
 }
 
 fn trial(index: u64) -> FeedItem {
@@ -23,12 +23,12 @@
     let mut v = FeedView::default();
     let trace = [
         (config(4, 10), true),
-        (area(3, 7), true),
+        (zone(3, 7), true),
         (FeedItem::Current, true),
         (config(2, 6), false),
-        (area(3, 6), false),
-        (area(2, 99), false),
-        (area(5, 1), true),
+        (zone(3, 6), false),
+        (zone(2, 99), false),
+        (zone(5, 1), true),
         (config(4, 10), false),
         (config(9, 12), true),
         (trial(8), true),
@@ -45,7 +45,7 @@
     for i in v.snapshot() {
         w.take(&i);
     }
-    assert_eq!(w.areas, v.areas);
+    assert_eq!(w.zones, v.zones);
     assert_eq!(w.trial, v.trial);
     assert_eq!(w.trial.map(|t| t.0), Some(11));
 }
--- a/crates/inner-protocol/src/cells.rs
+++ b/crates/inner-protocol/src/cells.rs
@@ -1,5 +1,5 @@
-//! Between cells: agreement messages, joining, forwarding to the leader, area tables.
-use crate::feed::AreaTable;
+//! Between cells: agreement messages, joining, forwarding to the leader, zone tables.
+use crate::feed::ZoneTable;
 use crate::prelude::*;
 use crate::stores::StoreStatus;
 
@@ -10,7 +10,7 @@
     pub id: u64,
     pub name: String,
     pub addr: String,
-    pub area: String,
+    pub zone: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -53,10 +53,10 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Change {
     /// An operator's configuration built on `base`.
-    PutConfig { base: u64, serial: u64, digest: u64, body: ByteBuf },
-    /// The next store set; applied only on top of the set with serial `base`.
+    PutConfig { base: u64, version: u64, digest: u64, body: ByteBuf },
+    /// The next store set; applied only on top of the set with version `base`.
     PutStores { base: u64, set: crate::stores::StoreSet },
-    /// Who holds each area.
+    /// Who holds each zone.
     PutHolders { holders: BTreeMap<String, u64> },
     /// A start or an end of a routing trial; applied only on top of what was agreed at index `base`.
     PutTrial { base: u64, trial: Box<TrialRecord> },
@@ -68,9 +68,9 @@
     Taken,
     /// This very configuration was taken before.
     TakenBefore,
-    /// Another serial is in place.
+    /// Another version is in place.
     Conflict,
-    /// The serial isn't above the current one.
+    /// The version isn't above the current one.
     NotAbove,
 }
 
@@ -85,7 +85,7 @@
     Join {
         member: Member,
     },
-    /// A cell ends in order: its areas go to others.
+    /// A cell ends in order: its zones go to others.
     Leave {
         id: u64,
     },
@@ -97,9 +97,9 @@
     Announce {
         status: StoreStatus,
     },
-    /// One way: a holder's table of its area.
+    /// One way: a holder's table of its zone.
     Table {
-        table: AreaTable,
+        table: ZoneTable,
     },
     Retire {
         store: String,
@@ -166,12 +166,12 @@
     pub leader: Option<String>,
     pub commit: u64,
     pub applied: u64,
-    pub config_serial: u64,
+    pub config_version: u64,
     pub members: Vec<String>,
     /// Name, state and address.
     pub stores: Vec<(String, String, String)>,
     /// Addresses of the members.
     pub cells: Vec<String>,
     pub unix_ms: u64,
-    pub areas: Vec<(String, Option<String>, usize)>,
+    pub zones: Vec<(String, Option<String>, usize)>,
 }
--- a/crates/inner-protocol/src/feed.rs
+++ b/crates/inner-protocol/src/feed.rs
@@ -9,17 +9,17 @@
     pub id: String,
     pub service: String,
     pub addr: String,
-    pub area: String,
+    pub zone: String,
     pub slots: u32,
     pub draining: bool,
     pub cold_ms: u64,
 }
 
-/// All engines of an area. Invariant: (`epoch`, `seq`) never goes back for an area; `epoch` is the
+/// All engines of an zone. Invariant: (`epoch`, `seq`) never goes back for an zone; `epoch` is the
 /// log index that made the holder, `seq` counts that holder's tables.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct AreaTable {
-    pub area: String,
+pub struct ZoneTable {
+    pub zone: String,
     pub epoch: u64,
     pub seq: u64,
     pub engines: Vec<EngineEntry>,
@@ -30,18 +30,18 @@
     /// The operator's configuration, as it was sent, by log index.
     Config {
         index: u64,
-        serial: u64,
+        version: u64,
         body: ByteBuf,
     },
     /// The same as a difference to the configuration `base` that this feed told last.
     ConfigPatch {
         index: u64,
-        serial: u64,
+        version: u64,
         base: u64,
         patch: Patch,
     },
     Stores(StoreSet),
-    Area(AreaTable),
+    Zone(ZoneTable),
     /// Addresses of the cells, by log index, and in the same order the zone of each ("" where it
     /// isn't known yet).
     Cells {
@@ -87,7 +87,7 @@
                 self,
                 FeedItem::Config { .. }
                     | FeedItem::ConfigPatch { .. }
-                    | FeedItem::Area(_)
+                    | FeedItem::Zone(_)
                     | FeedItem::Trial { .. }
             )
     }
--- a/crates/node-base/src/settings/check.rs
+++ b/crates/node-base/src/settings/check.rs
@@ -83,9 +83,9 @@
     if ip.parse::<IpAddr>().is_err() {
         return ck.fail("ipAddress", format!("'{ip}' is not an IP address"));
     }
-    let area = ck.need("zone", raw.zone)?;
-    let mut areas = raw.zones;
-    areas.entry(area.clone()).or_default();
+    let zone = ck.need("zone", raw.zone)?;
+    let mut zones = raw.zones;
+    zones.entry(zone.clone()).or_default();
     let internal_ports = match raw.internal_port_range.as_deref() {
         Some([a, b]) if *a > 0 && *b < 65_536 && *b - *a >= 7 => (*a as u16, *b as u16),
         Some(_) => return ck.fail("internalPortRange", "is not two ports with eight between"),
@@ -130,8 +130,8 @@
         node_name: ck.need("nodeName", raw.node_name)?,
         machine_class: raw.machine_class.unwrap_or_default(),
         ip,
-        area,
-        areas,
+        zone,
+        zones,
         internal_ports,
         seeds,
         first_start: raw.first_start,
--- a/crates/operator-config/src/check/fields.rs
+++ b/crates/operator-config/src/check/fields.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    pub fn serial(&mut self, top: &Map<String, Value>) -> u64 {
+    pub fn version(&mut self, top: &Map<String, Value>) -> u64 {
         match top.get("configVersion").and_then(Value::as_u64) {
             Some(n) if n > 0 => n,
             Some(_) => {
@@ -145,7 +145,11 @@
         }
     }
 
-    pub fn ways(&mut self, top: &Map<String, Value>, services: &[Arc<Service>]) -> Vec<Arc<Route>> {
+    pub fn routes(
+        &mut self,
+        top: &Map<String, Value>,
+        services: &[Arc<Service>],
+    ) -> Vec<Arc<Route>> {
         let known: HashSet<&str> = services.iter().map(|s| s.name.as_str()).collect();
         let mut places = HashSet::new();
         let mut out = Vec::new();
@@ -162,15 +166,15 @@
                 self.fault(format!("{at}.pathPrefix"), "doesn't begin and end with a slash");
             }
             if !places.insert((host.to_ascii_lowercase(), prefix.clone())) {
-                self.fault(at.clone(), "has the host and prefix of another way");
+                self.fault(at.clone(), "has the host and prefix of another route");
             }
             let kind = match obj.get("routeKind").and_then(Value::as_str) {
-                Some("idempotent") => WayKind::Idempotent,
-                Some("streaming") => WayKind::Streaming,
-                Some("non_idempotent") => WayKind::NonIdempotent,
+                Some("idempotent") => RouteKind::Idempotent,
+                Some("streaming") => RouteKind::Streaming,
+                Some("non_idempotent") => RouteKind::NonIdempotent,
                 _ => {
                     self.fault(format!("{at}.routeKind"), "is missing or unknown");
-                    WayKind::NonIdempotent
+                    RouteKind::NonIdempotent
                 }
             };
             let timeout = self.ms(obj, &at, "timeoutMs", 0.0);
--- a/crates/operator-config/src/check/mod.rs
+++ b/crates/operator-config/src/check/mod.rs
@@ -33,12 +33,12 @@
     let Some(top) = val.as_object() else {
         return Err(vec![Fault { place: "(body)".into(), reason: "is not an object".into() }]);
     };
-    let serial = rd.serial(top);
+    let version = rd.version(top);
     let services = rd.services(top);
-    let ways = rd.ways(top, &services);
+    let routes = rd.routes(top, &services);
     let limits = rd.limits(top);
     if rd.faults.is_empty() {
-        Ok(OperatorConfig { serial, ways, services, limits })
+        Ok(OperatorConfig { version, routes, services, limits })
     } else {
         Err(rd.faults)
     }
--- a/crates/operator-config/src/check/tests.rs
+++ b/crates/operator-config/src/check/tests.rs
@@ -30,14 +30,14 @@
 #[test]
 fn a_good_one_is_taken_and_the_longest_prefix_wins() {
     let cfg = check_config(good().to_string().as_bytes()).unwrap();
-    assert_eq!(cfg.serial, 7);
-    let t = WayTable::new(&cfg);
+    assert_eq!(cfg.version, 7);
+    let t = RouteTable::new(&cfg);
     assert_eq!(t.find("h.example", "/x/y/z").unwrap().name, "b");
     assert_eq!(t.find("H.example:80", "/x/q").unwrap().name, "a");
     assert!(t.find("h.example", "/z").is_none());
     assert!(t.find("g.example", "/x/").is_none());
     let w = t.find("h.example", "/x/q").unwrap();
-    assert_eq!((w.elect_service(0.0), w.elect_service(0.95)), ("s", "t"));
+    assert_eq!((w.choose_service(0.0), w.choose_service(0.95)), ("s", "t"));
 }
 
 #[test]
--- a/crates/operator-config/src/prelude.rs
+++ b/crates/operator-config/src/prelude.rs
@@ -1,7 +1,7 @@
 //! The one module every file of this package imports.
 pub use crate::check::{check_config, Fault};
-pub use crate::ways::{
-    EngineModel, LimitsOfClients, OperatorConfig, Route, Service, Split, WayKind, WayTable,
+pub use crate::routes::{
+    EngineModel, LimitsOfClients, OperatorConfig, Route, RouteKind, RouteTable, Service, Split,
 };
 pub use node_base::prelude::*;
 pub use serde_json::{Map, Value};
--- a/crates/operator-config/src/ways/mod.rs
+++ b/crates/operator-config/src/routes/mod.rs
@@ -2,7 +2,7 @@
 use crate::prelude::*;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WayKind {
+pub enum RouteKind {
     Idempotent,
     NonIdempotent,
     Streaming,
@@ -20,7 +20,7 @@
     pub name: String,
     pub host: String,
     pub prefix: String,
-    pub kind: WayKind,
+    pub kind: RouteKind,
     pub timeout: Duration,
     pub aim: Duration,
     pub gap_aim: Duration,
@@ -59,28 +59,28 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorConfig {
-    pub serial: u64,
-    pub ways: Vec<Arc<Route>>,
+    pub version: u64,
+    pub routes: Vec<Arc<Route>>,
     pub services: Vec<Arc<Service>>,
     pub limits: LimitsOfClients,
 }
 
 /// Ways by host, longest prefix first. Invariant: no two ways of a host share a prefix.
 #[derive(Debug, Default)]
-pub struct WayTable {
+pub struct RouteTable {
     hosts: HashMap<String, Vec<Arc<Route>>>,
 }
 
-impl WayTable {
+impl RouteTable {
     pub fn new(cfg: &OperatorConfig) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
-        for w in &cfg.ways {
+        for w in &cfg.routes {
             hosts.entry(w.host.to_ascii_lowercase()).or_default().push(w.clone());
         }
         for v in hosts.values_mut() {
             v.sort_by_key(|w| std::cmp::Reverse(w.prefix.len()));
         }
-        WayTable { hosts }
+        RouteTable { hosts }
     }
 
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
@@ -101,7 +101,7 @@
 
 impl Route {
     /// The service a draw in [0, 1) falls on.
-    pub fn elect_service(&self, draw: f64) -> &str {
+    pub fn choose_service(&self, draw: f64) -> &str {
         let sum: f64 = self.splits.iter().map(|s| s.weight).sum();
         let mut left = draw * sum;
         for s in &self.splits {
--- a/crates/outer-calls/src/platform/mod.rs
+++ b/crates/outer-calls/src/platform/mod.rs
@@ -32,18 +32,18 @@
     Failed,
 }
 
-/// All pages of one area's list; whole or not at all.
-pub async fn list_area(
+/// All pages of one zone's list; whole or not at all.
+pub async fn list_zone(
     addr: SocketAddr,
-    area: &str,
+    zone: &str,
     within: Duration,
 ) -> Result<Vec<ListedEngine>, ListError> {
     let mut out = Vec::new();
     let mut token: Option<String> = None;
     for _ in 0..200 {
         let path = match &token {
-            None => format!("{}?zone={area}", names::INSTANCES_PATH),
-            Some(t) => format!("{}?zone={area}&pageToken={t}", names::INSTANCES_PATH),
+            None => format!("{}?zone={zone}", names::INSTANCES_PATH),
+            Some(t) => format!("{}?zone={zone}&pageToken={t}", names::INSTANCES_PATH),
         };
         let ans =
             plain_call(addr, Method::GET, &path, within).await.map_err(|_| ListError::Failed)?;
--- a/crates/outer-calls/src/prelude.rs
+++ b/crates/outer-calls/src/prelude.rs
@@ -1,7 +1,7 @@
 //! The one module every file of this package imports.
 pub use crate::names;
 pub use crate::plain::{plain_call, PlainAnswer, PlainError};
-pub use crate::platform::{list_area, ListError, ListPage, ListedEngine};
+pub use crate::platform::{list_zone, ListError, ListPage, ListedEngine};
 pub use crate::report::{ask_report, Report};
 pub use http_body_util::{BodyExt, Full, Limited};
 pub use hyper::body::Incoming;
--- a/crates/request-proxy/src/app/feed.rs
+++ b/crates/request-proxy/src/app/feed.rs
@@ -10,7 +10,7 @@
         seeds: vec!["127.0.0.1".into()],
         feed_port: app.settings.internal_ports.0 + AGENT_PORT,
         fixed: true,
-        zone: app.settings.area.clone(),
+        zone: app.settings.zone.clone(),
         topics: Topics::All,
         silence: Duration::from_secs(3600),
         repeat: Duration::from_secs(3600),
@@ -56,11 +56,11 @@
 impl App {
     fn news(&self, item: &FeedItem) {
         match item {
-            FeedItem::Config { serial, body, .. } => match check_config(body) {
+            FeedItem::Config { version, body, .. } => match check_config(body) {
                 Ok(cfg) => {
                     let live = Live {
-                        serial: *serial,
-                        ways: WayTable::new(&cfg),
+                        version: *version,
+                        routes: RouteTable::new(&cfg),
                         services: cfg
                             .services
                             .iter()
@@ -70,14 +70,14 @@
                         body_bytes: cfg.limits.body_bytes,
                         idle_time: cfg.limits.idle_time,
                     };
-                    info!("configuration {} in force", serial);
+                    info!("configuration {} in force", version);
                     *locked(&self.live) = Some(Arc::new(live));
                 }
                 // The cells checked it with the same code.
-                Err(f) => warn!("configuration {} can't be read: {} faults", serial, f.len()),
+                Err(f) => warn!("configuration {} can't be read: {} faults", version, f.len()),
             },
             FeedItem::Stores(set) => self.bank.learn(set.clone()),
-            FeedItem::Area(t) => {
+            FeedItem::Zone(t) => {
                 let mut sched = locked(&self.sched);
                 sched.learn(t);
                 drop(sched);
--- a/crates/request-proxy/src/app/mod.rs
+++ b/crates/request-proxy/src/app/mod.rs
@@ -9,8 +9,8 @@
 
 /// A configuration in force, ready for use.
 pub struct Live {
-    pub serial: u64,
-    pub ways: WayTable,
+    pub version: u64,
+    pub routes: RouteTable,
     pub services: HashMap<String, Arc<Service>>,
     pub header_bytes: usize,
     pub body_bytes: usize,
@@ -41,7 +41,7 @@
     pub fn new(settings: NodeSettings) -> Arc<Self> {
         // A tenth of the memory is for chains that come back.
         let cache_bytes = (settings.limits.memory_mb << 20) as usize / 10;
-        let tuning = SchedulerTuning { area: settings.area.clone(), ..SchedulerTuning::default() };
+        let tuning = SchedulerTuning { zone: settings.zone.clone(), ..SchedulerTuning::default() };
         Arc::new(App {
             began: Instant::now(),
             live: Mutex::new(None),
--- a/crates/request-proxy/src/app/trial.rs
+++ b/crates/request-proxy/src/app/trial.rs
@@ -101,7 +101,7 @@
         let Some(program) = job.head.program.or(job.head.session) else {
             return (carried, None);
         };
-        if !job.way.retained || !live.record.keeps_arms() {
+        if !job.route.retained || !live.record.keeps_arms() {
             return (carried, None);
         }
         let bucket = bucket_of(live.key, program);
@@ -126,9 +126,9 @@
             key: m.key,
             arm: m.arm,
             bucket,
-            route: job.way.name.as_str().into(),
-            protected: live.record.spec.guard.protects(&job.way.name, job.way.priority),
-            due: job.began + job.way.aim,
+            route: job.route.name.as_str().into(),
+            protected: live.record.spec.guard.protects(&job.route.name, job.route.priority),
+            due: job.began + job.route.aim,
         };
         (mark, Some(seat))
     }
--- a/crates/request-proxy/src/door/answers.rs
+++ b/crates/request-proxy/src/door/answers.rs
@@ -47,8 +47,8 @@
 pub enum OwnAnswer {
     /// 400: the head or body can't be read.
     Unreadable(String),
-    /// 404: no way leads there.
-    NoWay,
+    /// 404: no route leads there.
+    NoRoute,
     /// 404: no such earlier turn.
     NoTurn,
     /// 402: the allowance is spent.
@@ -71,7 +71,7 @@
     pub fn into_response(self, request_id: Option<&str>) -> Response<ProxyBody> {
         let (status, text) = match &self {
             OwnAnswer::Unreadable(t) => (400, t.as_str()),
-            OwnAnswer::NoWay => (404, "no way leads there"),
+            OwnAnswer::NoRoute => (404, "no route leads there"),
             OwnAnswer::NoTurn => (404, "no such turn"),
             OwnAnswer::Spent => (402, "the token budget is spent"),
             OwnAnswer::TooLarge => (413, "the body is too large"),
--- a/crates/request-proxy/src/flow/mod.rs
+++ b/crates/request-proxy/src/flow/mod.rs
@@ -11,7 +11,7 @@
 pub struct Job<'a> {
     pub app: &'a Arc<App>,
     pub live: &'a Live,
-    pub way: &'a Route,
+    pub route: &'a Route,
     pub service: Arc<str>,
     pub parts: &'a Arc<RequestParts>,
     pub head: &'a Head<'a>,
@@ -28,7 +28,7 @@
 
     /// Time left until the aim.
     pub fn slack(&self) -> Duration {
-        let aim = self.began + self.way.aim;
+        let aim = self.began + self.route.aim;
         aim.saturating_duration_since(Instant::now())
     }
 
@@ -38,7 +38,7 @@
             .head
             .finish
             .is_some_and(|f| f.saturating_sub(self.began.elapsed()) < Duration::from_millis(1500));
-        let base = self.way.priority.saturating_mul(2).min(8);
+        let base = self.route.priority.saturating_mul(2).min(8);
         if short {
             base
         } else {
@@ -68,20 +68,20 @@
     let Some(live) = app.live() else {
         return OwnAnswer::shed(300, "not ready yet").into_response(id);
     };
-    let Some(way) = live.ways.find(head.host, parts.uri.path()).cloned() else {
-        return OwnAnswer::NoWay.into_response(id);
+    let Some(route) = live.routes.find(head.host, parts.uri.path()).cloned() else {
+        return OwnAnswer::NoRoute.into_response(id);
     };
-    let time = head.budget.map_or(way.timeout, |b| b.saturating_sub(WAY_BACK).min(way.timeout));
+    let time = head.budget.map_or(route.timeout, |b| b.saturating_sub(WAY_BACK).min(route.timeout));
     let until = began + time;
     let body = match read_body(body, live.body_bytes, until).await {
         Ok(b) => b,
         Err(a) => return a.into_response(id),
     };
-    let service: Arc<str> = way.elect_service(fastrand::f64()).into();
+    let service: Arc<str> = route.choose_service(fastrand::f64()).into();
     let job = Job {
         app,
         live: &live,
-        way: &way,
+        route: &route,
         service,
         parts: &parts,
         head: &head,
@@ -89,8 +89,8 @@
         until,
         seat: Default::default(),
     };
-    let res = match way.kind {
-        WayKind::Streaming => turn::run(&job, body).await,
+    let res = match route.kind {
+        RouteKind::Streaming => turn::run(&job, body).await,
         _ => plain::run(&job, body).await,
     };
     if let Some(s) = job.seat.get() {
@@ -101,7 +101,7 @@
         Err(a) => {
             if matches!(a, OwnAnswer::Shed { .. } | OwnAnswer::Lost(_) | OwnAnswer::Late) {
                 let ms = began.elapsed().as_millis() as u64;
-                info!("own answer: {:?}", a, kv: { request = head.request_id, way = way.name, after_ms = ms });
+                info!("own answer: {:?}", a, kv: { request = head.request_id, route = route.name, after_ms = ms });
             }
             a.into_response(id)
         }
--- a/crates/request-proxy/src/flow/plain.rs
+++ b/crates/request-proxy/src/flow/plain.rs
@@ -95,14 +95,14 @@
     // Measured by the pool: a slow engine isn't given more time for being slow.
     let work = locked(&job.app.sched).evidence.expected_work(&g.service);
     let long = work * 4;
-    long.min(job.way.aim.mul_f64(1.4)).clamp(LEAST_SILENT, (job.left() / 2).max(LEAST_SILENT))
+    long.min(job.route.aim.mul_f64(1.4)).clamp(LEAST_SILENT, (job.left() / 2).max(LEAST_SILENT))
 }
 
 const LEAST_SILENT: Duration = Duration::from_millis(120);
 
 pub async fn run(job: &Job<'_>, body: Bytes) -> Result<Response<ProxyBody>, OwnAnswer> {
     let app = job.app;
-    let repeatable = job.way.kind == WayKind::Idempotent;
+    let repeatable = job.route.kind == RouteKind::Idempotent;
     let mut tried: Vec<EngineKey> = Vec::new();
     let mut sends = 0;
     let mut unreached = 0;
@@ -121,7 +121,7 @@
             until: job.until,
             urgency: job.urgency(),
             repeatable,
-            route: fnv64(job.way.name.as_bytes()),
+            route: fnv64(job.route.name.as_bytes()),
         };
         Box::pin(send.run(held, g))
     };
@@ -140,7 +140,7 @@
         let silent = silent_after(job, &g);
         let first_key = g.key;
         let mut first = begin(held, g);
-        let (key, came) = if repeatable && sends + 1 < job.way.most_sends {
+        let (key, came) = if repeatable && sends + 1 < job.route.most_sends {
             match tokio::time::timeout(silent, &mut first).await {
                 Ok(out) => out,
                 Err(_) => {
@@ -161,7 +161,7 @@
                 sends += 1;
                 let again = r.status().is_server_error()
                     && repeatable
-                    && sends < job.way.most_sends
+                    && sends < job.route.most_sends
                     && !job.left().is_zero()
                     && may_repeat(job);
                 if !again {
@@ -177,13 +177,13 @@
                 debug!("{}: {}", job.head.request_id, why);
                 sends += 1;
                 lost = Some(why);
-                if !repeatable || sends >= job.way.most_sends || !may_repeat(job) {
+                if !repeatable || sends >= job.route.most_sends || !may_repeat(job) {
                     return Err(OwnAnswer::Lost(why));
                 }
             }
             Came::Late => return Err(OwnAnswer::Late),
         }
-        let over = sends >= job.way.most_sends || unreached >= 4;
+        let over = sends >= job.route.most_sends || unreached >= 4;
         if over || job.left() < Duration::from_millis(10) {
             return Err(match lost {
                 Some(why) => OwnAnswer::Lost(why),
@@ -203,11 +203,11 @@
         most_out: 0,
         memory_limit: 0,
         is_turn: false,
-        priority: job.way.priority,
+        priority: job.route.priority,
         slack: job.slack(),
         budget: job.left(),
         tried: tried.to_vec(),
-        may_probe: job.way.kind == WayKind::Idempotent || job.way.priority > 1,
+        may_probe: job.route.kind == RouteKind::Idempotent || job.route.priority > 1,
         policy: Policy::Current,
     }
 }
--- a/crates/request-proxy/src/flow/turn.rs
+++ b/crates/request-proxy/src/flow/turn.rs
@@ -85,11 +85,11 @@
     let claim = head.program.map(|_| ClaimAsk {
         line: fnv64(head.session.unwrap_or("").as_bytes()),
         pinned: Pinned {
-            config_version: job.live.serial,
+            config_version: job.live.version,
             service: job.service.to_string(),
-            most_sends: job.way.most_sends,
+            most_sends: job.route.most_sends,
             deadline_ms: job.left().as_millis() as u64,
-            retained: job.way.retained,
+            retained: job.route.retained,
         },
         most: turn.tokens.1.max(1),
         allowance: head.allowance,
@@ -145,11 +145,11 @@
         most_out: turn.tokens.1,
         memory_limit: engine.map_or(0, |e| e.cache_tokens / 100 * 95),
         is_turn: true,
-        priority: job.way.priority,
+        priority: job.route.priority,
         slack: job.slack(),
         budget: job.left(),
         tried: tried.to_vec(),
-        may_probe: job.way.priority > 0,
+        may_probe: job.route.priority > 0,
         policy: Seat::policy(seat.as_ref()),
     }
 }
@@ -222,7 +222,7 @@
                         _ => Err(OwnAnswer::Lost("the answer broke off")),
                     };
                 }
-                let kept = job.way.retained.then(|| TurnClose {
+                let kept = job.route.retained.then(|| TurnClose {
                     record: TurnRecord {
                         id: id.to_string(),
                         chain: opened.chain.iter().map(|t| t.id.clone()).collect(),
@@ -231,7 +231,7 @@
                         output: ByteBuf::new(),
                         engine: write_answered_by(&g.id, mark),
                         line_tokens: turn.tokens.0,
-                        keep_ms: job.way.retention.as_millis() as u64,
+                        keep_ms: job.route.retention.as_millis() as u64,
                     },
                     foreign: match last {
                         Some(l) if l.program != turn.program => opened.chain.clone(),
@@ -248,7 +248,7 @@
                     grant,
                     session: head.session.map(Into::into),
                     blocks: turn.blocks.clone(),
-                    retention: job.way.retention,
+                    retention: job.route.retention,
                     stride: job
                         .live
                         .services
@@ -256,7 +256,7 @@
                         .and_then(|s| s.engine.as_ref())
                         .map_or(1, |e| e.stride),
                     sent_at,
-                    gap_aim: job.way.gap_aim,
+                    gap_aim: job.route.gap_aim,
                     until: job.until,
                     alone,
                     request_id: id.to_string(),
@@ -292,7 +292,7 @@
             }
             SendOutcome::Late => return Err(OwnAnswer::Late),
         }
-        let over = sends >= job.way.most_sends || unreached >= 4;
+        let over = sends >= job.route.most_sends || unreached >= 4;
         if over || job.left() < Duration::from_millis(20) {
             return Err(OwnAnswer::shed(80, "the engines are full"));
         }
--- a/crates/request-proxy/src/prelude.rs
+++ b/crates/request-proxy/src/prelude.rs
@@ -18,7 +18,7 @@
 pub use inner_protocol::prelude::*;
 pub use inner_protocol::stores::*;
 pub use operator_config::prelude::{
-    check_config, OperatorConfig, Route, Service, WayKind, WayTable,
+    check_config, OperatorConfig, Route, RouteKind, RouteTable, Service,
 };
 pub use outer_calls::prelude::*;
 pub use routing_trial::prelude::{
--- a/crates/request-proxy/src/turns/bank.rs
+++ b/crates/request-proxy/src/turns/bank.rs
@@ -129,7 +129,7 @@
     pub fn new(settings: &NodeSettings, cache_bytes: usize) -> Self {
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         TurnBank {
-            zone: settings.area.clone(),
+            zone: settings.zone.clone(),
             node: fnv64(settings.node_name.as_bytes()),
             incarnation: AtomicU64::new(unix.map_or(1, |d| d.as_millis() as u64)),
             limits: settings.dispatcher,
--- a/crates/session-index/src/engines/mod.rs
+++ b/crates/session-index/src/engines/mod.rs
@@ -23,7 +23,7 @@
     pub id: Arc<str>,
     pub service: Arc<str>,
     pub addr: SocketAddr,
-    pub area: Arc<str>,
+    pub zone: Arc<str>,
     pub slots: u32,
     pub draining: bool,
     pub own: u32,
@@ -68,7 +68,7 @@
     rows: Slab<EngineRow>,
     by_key: HashMap<EngineKey, usize>,
     by_service: HashMap<Arc<str>, Vec<usize>>,
-    areas: BTreeMap<String, Vec<EngineKey>>,
+    zones: BTreeMap<String, Vec<EngineKey>>,
     /// Lives that were on the list and have left it, oldest first, as many as are remembered.
     left: VecDeque<EngineKey>,
 }
@@ -89,9 +89,9 @@
         self.by_service.get(service).into_iter().flatten().map(|i| &self.rows[*i])
     }
 
-    /// Takes an area's table, and tells the evidence who has come and gone; gives back the engines that
+    /// Takes an zone's table, and tells the evidence who has come and gone; gives back the engines that
     /// are gone.
-    pub fn learn(&mut self, t: &AreaTable, evidence: &mut EvidenceTable) -> Vec<EngineKey> {
+    pub fn learn(&mut self, t: &ZoneTable, evidence: &mut EvidenceTable) -> Vec<EngineKey> {
         let mut now: Vec<EngineKey> = Vec::new();
         for e in &t.engines {
             let Ok(addr) = e.addr.parse() else { continue };
@@ -105,7 +105,7 @@
                 }
             }
         }
-        let before = self.areas.insert(t.area.clone(), now.clone()).unwrap_or_default();
+        let before = self.zones.insert(t.zone.clone(), now.clone()).unwrap_or_default();
         let gone: Vec<EngineKey> = before.into_iter().filter(|k| !now.contains(k)).collect();
         for k in &gone {
             self.left.push_back(*k);
@@ -135,7 +135,7 @@
             id: e.id.as_str().into(),
             service: service.clone(),
             addr,
-            area: e.area.as_str().into(),
+            zone: e.zone.as_str().into(),
             slots: e.slots.max(1),
             draining: e.draining,
             own: 0,
--- a/crates/session-index/src/evidence/mod.rs
+++ b/crates/session-index/src/evidence/mod.rs
@@ -100,21 +100,21 @@
     }
 
     /// A send begins; when nothing is heard of it for `patience`, it is silent.
-    pub fn begin(&mut self, key: EngineKey, serial: u64, patience: Duration, now: Duration) {
+    pub fn begin(&mut self, key: EngineKey, version: u64, patience: Duration, now: Duration) {
         self.clock = now.max(self.clock);
         if let Some(r) = self.rows.get_mut(&key) {
             r.standing.handle(&StandingEvent::Probe);
-            r.open.push(OpenSend { serial, at: now, patience, answered: false });
+            r.open.push(OpenSend { version, at: now, patience, answered: false });
         }
     }
 
-    /// What a send met. `serial` names it; 0 for what belongs to no send.
-    pub fn observe(&mut self, key: EngineKey, serial: u64, o: Observation, now: Duration) {
+    /// What a send met. `version` names it; 0 for what belongs to no send.
+    pub fn observe(&mut self, key: EngineKey, version: u64, o: Observation, now: Duration) {
         self.clock = now.max(self.clock);
         let Some(r) = self.rows.get_mut(&key) else { return };
         let p = self.pools.entry(r.service.clone()).or_default();
         let was_probe = r.steps_left().is_some();
-        let verdict = r.take(p, serial, o, now);
+        let verdict = r.take(p, version, o, now);
         if was_probe {
             match verdict {
                 Some(true) => self.passed(key, now),
@@ -130,15 +130,15 @@
 
     /// A send is over, however it ended. One that nothing was heard of for long counts as silence: its
     /// time was over, or the client went away.
-    pub fn finish(&mut self, key: EngineKey, serial: u64, now: Duration) {
+    pub fn finish(&mut self, key: EngineKey, version: u64, now: Duration) {
         let Some(r) = self.rows.get_mut(&key) else { return };
-        let Some(i) = r.open.iter().position(|s| s.serial == serial) else { return };
+        let Some(i) = r.open.iter().position(|s| s.version == version) else { return };
         let silent = !r.open[i].answered && r.open[i].is_overdue(now);
         if silent {
-            self.observe(key, serial, Observation::Failed(FailureKind::Silent), now);
+            self.observe(key, version, Observation::Failed(FailureKind::Silent), now);
         }
         if let Some(r) = self.rows.get_mut(&key) {
-            r.open.retain(|s| s.serial != serial);
+            r.open.retain(|s| s.version != version);
         }
     }
 
--- a/crates/session-index/src/evidence/row.rs
+++ b/crates/session-index/src/evidence/row.rs
@@ -6,7 +6,7 @@
 /// A send under way, for which nothing has been concluded unless `answered`.
 #[derive(Debug, Clone, Copy)]
 pub struct OpenSend {
-    pub serial: u64,
+    pub version: u64,
     pub at: Duration,
     /// Nothing heard of it after this time is silence.
     pub patience: Duration,
@@ -75,11 +75,11 @@
     pub fn take(
         &mut self,
         p: &mut PoolEvidence,
-        serial: u64,
+        version: u64,
         o: Observation,
         now: Duration,
     ) -> Option<bool> {
-        let open = self.open.iter_mut().find(|s| s.serial == serial);
+        let open = self.open.iter_mut().find(|s| s.version == version);
         // What was sent before it was ejected says nothing of whether it is well again.
         let known = open.as_ref().is_some_and(|s| s.at >= self.due)
             && matches!(self.standing.state(), StandingState::Returning { .. });
--- a/crates/session-index/src/evidence/tests.rs
+++ b/crates/session-index/src/evidence/tests.rs
@@ -29,30 +29,30 @@
 fn play(t: &mut EvidenceTable, trace: &str, at: Duration) -> Duration {
     let rows: Vec<serde_json::Value> = serde_json::from_str(trace).unwrap();
     let mut steps = Vec::new();
-    let mut serial = at.as_millis() as u64 * 1000;
+    let mut version = at.as_millis() as u64 * 1000;
     for r in &rows {
         let n = |k: &str| r[k].as_u64().unwrap_or(0);
         for e in r["engines"].as_array().unwrap().iter().map(|e| e.as_u64().unwrap()) {
             for from in (n("from")..n("to")).step_by(n("every") as usize) {
-                serial += 1;
-                steps.push((at + ms(from), true, serial, e, r));
-                steps.push((at + ms(from + n("ms")), false, serial, e, r));
+                version += 1;
+                steps.push((at + ms(from), true, version, e, r));
+                steps.push((at + ms(from + n("ms")), false, version, e, r));
             }
         }
     }
     steps.sort_by_key(|s| (s.0, s.1, s.2));
     let mut under_way = BTreeSet::new();
     let mut last = at;
-    for (now, begins, serial, e, r) in steps {
+    for (now, begins, version, e, r) in steps {
         last = now;
         if begins {
             if admits(t, key(e), true, now) != Admission::Closed {
-                t.begin(key(e), serial, ms(500), now);
-                under_way.insert(serial);
+                t.begin(key(e), version, ms(500), now);
+                under_way.insert(version);
             }
             continue;
         }
-        if !under_way.remove(&serial) {
+        if !under_way.remove(&version) {
             continue;
         }
         let took = ms(r["ms"].as_u64().unwrap());
@@ -66,9 +66,9 @@
             x => panic!("{x}"),
         };
         if let Some(o) = met {
-            t.observe(key(e), serial, o, now);
+            t.observe(key(e), version, o, now);
         }
-        t.finish(key(e), serial, now);
+        t.finish(key(e), version, now);
     }
     last
 }
@@ -285,7 +285,7 @@
         let mut t = table(u.int_in_range(1..=12)?);
         let mut now = ms(0);
         let mut live: BTreeSet<u64> = (0..t.restricted(SERVICE).0 as u64).collect();
-        for serial in 1..u.int_in_range(1..=300u64)? {
+        for version in 1..u.int_in_range(1..=300u64)? {
             now += ms(u.int_in_range(0..=3000)?);
             let n = u.int_in_range(0..=14u64)?;
             match u.int_in_range(0..=9u32)? {
@@ -293,7 +293,7 @@
                 1 if live.remove(&n) => t.remove(key(n), u.arbitrary()?),
                 2 => t.replaced(key(n), now),
                 m if live.contains(&n) => {
-                    t.begin(key(n), serial, ms(500), now);
+                    t.begin(key(n), version, ms(500), now);
                     now += ms(u.int_in_range(1..=2000)?);
                     let took = ms(u.int_in_range(1..=3000)?);
                     let o = match m {
@@ -306,8 +306,8 @@
                         },
                         _ => Observation::Failed(FailureKind::Reset),
                     };
-                    t.observe(key(n), serial, o, now);
-                    t.finish(key(n), serial, now);
+                    t.observe(key(n), version, o, now);
+                    t.finish(key(n), version, now);
                 }
                 _ => {}
             }
@@ -346,18 +346,18 @@
 /// An ejected engine is used only when there is no other, and probed first by what may be repeated.
 #[test]
 fn elections_leave_ejected_engines_to_probes_and_to_need() {
-    let mut s = Scheduler::new(SchedulerTuning { area: "a".into(), ..SchedulerTuning::default() });
+    let mut s = Scheduler::new(SchedulerTuning { zone: "a".into(), ..SchedulerTuning::default() });
     let engine = |n: u32| EngineEntry {
         id: n.to_string(),
         service: SERVICE.into(),
         addr: format!("10.0.0.{n}:80"),
-        area: "a".into(),
+        zone: "a".into(),
         slots: 4,
         draining: false,
         cold_ms: 0,
     };
     let engines = (1..4).map(engine).collect();
-    s.learn(&AreaTable { area: "a".into(), epoch: 1, seq: 1, engines });
+    s.learn(&ZoneTable { zone: "a".into(), epoch: 1, seq: 1, engines });
     let ask = |may_probe: bool, tried: &[&str]| Ask {
         service: SERVICE.into(),
         blocks: Vec::new(),
--- a/crates/session-index/src/scheduler/elect.rs
+++ b/crates/session-index/src/scheduler/elect.rs
@@ -78,7 +78,7 @@
         };
         Some(Grant {
             key: e.key,
-            serial: 0,
+            version: 0,
             id: e.id.clone(),
             service: e.service.clone(),
             addr: e.addr,
@@ -108,7 +108,7 @@
     fn cost(&self, e: &EngineRow, ask: &Ask, hit: u32, now: Duration) -> f64 {
         let mut c = 0.0;
         let tuning = self.tuning_of(ask);
-        if *e.area != *tuning.area {
+        if *e.zone != *tuning.zone {
             c += tuning.far_ms;
         }
         let busy = e.busy(now);
--- a/crates/session-index/src/scheduler/mod.rs
+++ b/crates/session-index/src/scheduler/mod.rs
@@ -59,7 +59,7 @@
 pub struct Grant {
     pub key: EngineKey,
     /// Names this send in the evidence.
-    pub serial: u64,
+    pub version: u64,
     pub id: Arc<str>,
     pub service: Arc<str>,
     pub addr: SocketAddr,
@@ -86,8 +86,8 @@
 
 #[derive(Debug, Clone)]
 pub struct SchedulerTuning {
-    pub area: String,
-    /// What a send to another area costs, in ms of waiting.
+    pub zone: String,
+    /// What a send to another zone costs, in ms of waiting.
     pub far_ms: f64,
     pub most_waiting: usize,
     /// Sends an engine may have per slot before requests wait here.
@@ -104,7 +104,7 @@
 impl Default for SchedulerTuning {
     fn default() -> Self {
         SchedulerTuning {
-            area: String::new(),
+            zone: String::new(),
             far_ms: 25.0,
             most_waiting: 2000,
             plain_depth: 2.0,
@@ -136,7 +136,7 @@
     /// What may not run now, in the dispatcher's order.
     ready: ReadyQueue<Ask>,
     next_ticket: u64,
-    next_serial: u64,
+    next_version: u64,
 }
 
 impl Scheduler {
@@ -151,11 +151,11 @@
             inversions: 0,
             ready: ReadyQueue::new(most_waiting),
             next_ticket: 0,
-            next_serial: 0,
+            next_version: 0,
         }
     }
 
-    pub fn learn(&mut self, t: &AreaTable) {
+    pub fn learn(&mut self, t: &ZoneTable) {
         for k in self.engines.learn(t, &mut self.evidence) {
             self.index.forget_engine(k);
         }
@@ -202,14 +202,14 @@
         if self.trial.is_some() && passed {
             self.inversions += 1;
         }
-        self.next_serial += 1;
-        g.serial = self.next_serial;
+        self.next_version += 1;
+        g.version = self.next_version;
         self.ready.begin(&ask.service);
         // Plain work varies more by itself than the time to a first event does; that grows under load,
         // and a line that leaves its engine for it is read anew.
         let (times, least) = if ask.is_turn { (4.0, TURN_PATIENCE) } else { (5.0, CALL_PATIENCE) };
         let patience = Duration::from_secs_f64(g.expected_ms * times / 1e3).max(least);
-        self.evidence.begin(g.key, g.serial, patience, now);
+        self.evidence.begin(g.key, g.version, patience, now);
         if let Some(e) = self.engines.get_mut(g.key) {
             e.own += 1;
             e.reading += u64::from(g.fresh);
@@ -224,7 +224,7 @@
     /// The prompt was read: the first event came.
     pub fn read(&mut self, g: &Grant, took: Duration, now: Duration, alone: bool) -> bool {
         let first = Observation::FirstEvent { took, fresh: g.fresh };
-        self.evidence.observe(g.key, g.serial, first, now);
+        self.evidence.observe(g.key, g.version, first, now);
         let Some(e) = self.engines.get_mut(g.key) else {
             return true;
         };
@@ -247,7 +247,7 @@
 
     /// A grant ends. `fresh_left` tells that its prompt was never read.
     pub fn end(&mut self, g: &Grant, was_read: bool, now: Duration) -> Vec<(u64, Grant)> {
-        self.evidence.finish(g.key, g.serial, now);
+        self.evidence.finish(g.key, g.version, now);
         self.ready.end(&g.service);
         if let Some(e) = self.engines.get_mut(g.key) {
             e.own = e.own.saturating_sub(1);
@@ -331,7 +331,7 @@
         let had_room = e.busy(now) < 0.6 * f64::from(e.slots);
         self.evidence.avoid(g.key, FULL, now);
         if had_room {
-            self.evidence.observe(g.key, g.serial, Observation::Failed(FailureKind::Refused), now);
+            self.evidence.observe(g.key, g.version, Observation::Failed(FailureKind::Refused), now);
             return;
         }
         e.others = e.others.max(f64::from(e.slots));
@@ -340,7 +340,7 @@
 
     /// A send to it failed, or it can't be reached.
     pub fn failed(&mut self, g: &Grant, kind: FailureKind, now: Duration) {
-        self.evidence.observe(g.key, g.serial, Observation::Failed(kind), now);
+        self.evidence.observe(g.key, g.version, Observation::Failed(kind), now);
     }
 
     /// A plain call's whole answer came.
@@ -348,7 +348,7 @@
         if let Some(e) = self.engines.get_mut(g.key) {
             e.pace.worked(took);
         }
-        self.evidence.observe(g.key, g.serial, Observation::Worked { took, route }, now);
+        self.evidence.observe(g.key, g.version, Observation::Worked { took, route }, now);
     }
 
     /// A stream came whole.
@@ -361,7 +361,7 @@
         now: Duration,
     ) {
         let o = Observation::Streamed { gap, longest, aim };
-        self.evidence.observe(g.key, g.serial, o, now);
+        self.evidence.observe(g.key, g.version, o, now);
     }
 
     /// Another engine answers at this address.
--- a/crates/session-index/src/scheduler/prior/mod.rs
+++ b/crates/session-index/src/scheduler/prior/mod.rs
@@ -34,7 +34,7 @@
         }
         let mut zones: HashMap<&str, Vec<u64>> = HashMap::new();
         for e in engines.of_service(&ask.service).filter(|e| !e.draining) {
-            zones.entry(&e.area).or_default().push(e.key.0);
+            zones.entry(&e.zone).or_default().push(e.key.0);
         }
         for keys in zones.into_values() {
             let best = rank_by_rendezvous(first.hash, keys).into_iter().take(MOST);
--- a/crates/session-index/src/scheduler/tests.rs
+++ b/crates/session-index/src/scheduler/tests.rs
@@ -1,8 +1,8 @@
 use crate::prelude::*;
 
-pub(super) fn table(area: &str, epoch: u64, engines: &[(&str, bool)]) -> AreaTable {
-    AreaTable {
-        area: area.into(),
+pub(super) fn table(zone: &str, epoch: u64, engines: &[(&str, bool)]) -> ZoneTable {
+    ZoneTable {
+        zone: zone.into(),
         epoch,
         seq: 1,
         engines: engines
@@ -12,7 +12,7 @@
                 id: id.to_string(),
                 service: "s".into(),
                 addr: format!("10.0.0.{}:80", i + 1),
-                area: area.into(),
+                zone: zone.into(),
                 slots: 4,
                 draining: *draining,
                 cold_ms: 0,
@@ -22,7 +22,7 @@
 }
 
 fn scheduler() -> Scheduler {
-    let mut s = Scheduler::new(SchedulerTuning { area: "a".into(), ..SchedulerTuning::default() });
+    let mut s = Scheduler::new(SchedulerTuning { zone: "a".into(), ..SchedulerTuning::default() });
     s.learn(&table("a", 1, &[("x", false), ("y", false)]));
     s.learn(&table("b", 1, &[("z", false)]));
     s
@@ -70,7 +70,7 @@
     }
 }
 
-/// The index decides: the line goes where its parts are, though that engine is in another area and
+/// The index decides: the line goes where its parts are, though that engine is in another zone and
 /// has more under way than any other.
 #[test]
 fn the_index_decides_not_the_load() {
@@ -216,9 +216,9 @@
 fn only_requests_of_the_candidate_are_placed_by_its_tuning() {
     let mut s = scheduler();
     // Far engines cost nothing under the candidate, and its zone is theirs.
-    let far = SchedulerTuning { area: "b".into(), far_ms: 5000.0, ..SchedulerTuning::default() };
+    let far = SchedulerTuning { zone: "b".into(), far_ms: 5000.0, ..SchedulerTuning::default() };
     let ask = |policy| Ask { policy, ..turn("", &["a"]) };
-    let area =
+    let zone =
         |g: Grant| if g.addr.to_string() == "10.0.0.1:80" && *g.id == *"z" { "b" } else { "a" };
     for (trial, policy, want) in [
         (None, Policy::Trial, "a"),
@@ -228,7 +228,7 @@
     ] {
         s.trial = trial.map(Box::new);
         let g = go(s.place(ask(policy), NOW));
-        assert_eq!(area(g.clone()), want, "{policy:?}");
+        assert_eq!(zone(g.clone()), want, "{policy:?}");
         s.end(&g, true, NOW);
     }
 }
--- a/crates/spokebank/src/commands/mod.rs
+++ b/crates/spokebank/src/commands/mod.rs
@@ -119,9 +119,9 @@
     match check_config(&body) {
         Ok(c) => {
             println!(
-                "{file}: sound: version {}, {} ways, {} services",
-                c.serial,
-                c.ways.len(),
+                "{file}: sound: version {}, {} routes, {} services",
+                c.version,
+                c.routes.len(),
                 c.services.len()
             );
             Ok(0)
--- a/crates/stand-ins/src/platform/mod.rs
+++ b/crates/stand-ins/src/platform/mod.rs
@@ -1,7 +1,7 @@
 //! The platform's list.
 use crate::prelude::*;
 
-/// Serves the list: (service, engine id, address, area, state).
+/// Serves the list: (service, engine id, address, zone, state).
 pub type Listed = Arc<Mutex<Vec<(String, String, String, String, String)>>>;
 
 pub async fn serve_platform(addr: &str, list: Listed) -> std::io::Result<SocketAddr> {
@@ -27,14 +27,14 @@
 /// Pages of two, so that following them is tested as well.
 fn page(list: &Listed, query: &str) -> String {
     let get = |k: &str| query.split('&').find_map(|p| p.strip_prefix(k)).unwrap_or("");
-    let (area, from) = (get("zone="), get("pageToken=").parse::<usize>().unwrap_or(0));
+    let (zone, from) = (get("zone="), get("pageToken=").parse::<usize>().unwrap_or(0));
     let all: Vec<serde_json::Value> = match list.lock() {
         Ok(l) => l
             .iter()
-            .filter(|e| area.is_empty() || e.3 == area)
-            .map(|(service, id, addr, area, state)| {
+            .filter(|e| zone.is_empty() || e.3 == zone)
+            .map(|(service, id, addr, zone, state)| {
                 serde_json::json!({"id": id, "serviceName": service, "address": addr,
-                    "zone": area, "configVersion": "v1", "slotCount": 4, "state": state,
+                    "zone": zone, "configVersion": "v1", "slotCount": 4, "state": state,
                     "coldRemainingMs": 0})
             })
             .collect(),
--- a/crates/stand-ins/tests/routing_trial.rs
+++ b/crates/stand-ins/tests/routing_trial.rs
@@ -13,7 +13,7 @@
     name: &str,
     class: &str,
     ip: &str,
-    area: &str,
+    zone: &str,
     dir: &Path,
     cloud: SocketAddr,
 ) -> NodeSettings {
@@ -23,7 +23,7 @@
         _ => String::new(),
     };
     let text = format!(
-        "nodeName = \"{name}\"\nmachineClass = \"{class}\"\nipAddress = \"{ip}\"\nzone = \"{area}\"\n\
+        "nodeName = \"{name}\"\nmachineClass = \"{class}\"\nipAddress = \"{ip}\"\nzone = \"{zone}\"\n\
          internalPortRange = [{PORTS},{}]\nseedAddresses = [\"127.0.10.1:28144\"]\nfirstStart = true\n\
          dataDirectory = \"{}\"\n[zones]\na = \"r\"\nb = \"r\"\nc = \"r\"\n[listenAddresses]\n{listen}\
          [limits]\nmemoryMb = 256\nfileDescriptors = 2000\ndiskMb = 64\n\
@@ -112,9 +112,9 @@
     let cloud = serve_platform("127.0.10.50:0", Arc::new(Mutex::new(vec![row]))).await.unwrap();
     let core = settings("core-1", "core", "127.0.10.1", "a", &dir, cloud);
     tokio::spawn(control_cell::run_cell(core.clone()));
-    for (i, area) in ["a", "b", "c"].iter().enumerate() {
+    for (i, zone) in ["a", "b", "c"].iter().enumerate() {
         let ip = format!("127.0.10.{}", 10 + i);
-        let e = settings(&format!("store-{i}"), "storage", &ip, area, &dir, cloud);
+        let e = settings(&format!("store-{i}"), "storage", &ip, zone, &dir, cloud);
         tokio::spawn(turn_store::run_store(e));
     }
     // Both proxies are fed by one agent, since the agent's port is that of the machine.
--- a/crates/stand-ins/tests/whole_path.rs
+++ b/crates/stand-ins/tests/whole_path.rs
@@ -8,7 +8,7 @@
     name: &str,
     class: &str,
     ip: &str,
-    area: &str,
+    zone: &str,
     dir: &std::path::Path,
     cloud: SocketAddr,
 ) -> NodeSettings {
@@ -20,7 +20,7 @@
     }
     let data = dir.join(name);
     let text = format!(
-        "nodeName = \"{name}\"\nmachineClass = \"{class}\"\nipAddress = \"{ip}\"\nzone = \"{area}\"\n\
+        "nodeName = \"{name}\"\nmachineClass = \"{class}\"\nipAddress = \"{ip}\"\nzone = \"{zone}\"\n\
          internalPortRange = [{PORTS},{}]\nseedAddresses = [\"127.0.9.1:28144\"]\nfirstStart = true\n\
          dataDirectory = \"{}\"\n[zones]\na = \"r\"\nb = \"r\"\nc = \"r\"\n[listenAddresses]\n{listen}\
          [limits]\nmemoryMb = 256\nfileDescriptors = 2000\ndiskMb = 64\n\
@@ -33,8 +33,8 @@
     node_base::settings::read_settings(&file.display().to_string()).unwrap()
 }
 
-fn config(serial: u64, extra: bool) -> String {
-    let mut ways = vec![
+fn config(version: u64, extra: bool) -> String {
+    let mut routes = vec![
         serde_json::json!({"name": "turns", "hostName": "h.example", "pathPrefix": "/t/",
             "routeKind": "streaming", "timeoutMs": 6000, "targetLatencyMs": 200, "priorityLevel": 1,
             "serviceName": "llm", "maxAttempts": 2, "retained": true, "retentionS": 60.0,
@@ -47,10 +47,11 @@
             "priorityLevel": 2, "serviceName": "app", "maxAttempts": 2}),
     ];
     if extra {
-        ways.push(serde_json::json!({"name": "new", "hostName": "h.example", "pathPrefix": "/n/",
+        routes
+            .push(serde_json::json!({"name": "new", "hostName": "h.example", "pathPrefix": "/n/",
             "routeKind": "idempotent", "timeoutMs": 3000, "serviceName": "app"}));
     }
-    serde_json::json!({"configVersion": serial, "routeTable": ways, "serviceTable": [
+    serde_json::json!({"configVersion": version, "routeTable": routes, "serviceTable": [
         {"name": "llm", "healthPath": "/health", "connectionLimit": 64,
          "engine": {"slotCount": 4, "cacheTokens": 100000, "eventStride": 2, "models": [{"name": "m"}]}},
         {"name": "app", "healthPath": "/health", "connectionLimit": 64}],
@@ -71,10 +72,10 @@
     }
 }
 
-async fn put(serial: u64, base: u64, body: &str) -> u16 {
+async fn put(version: u64, base: u64, body: &str) -> u16 {
     let base = base.to_string();
     let h = [("host", "c"), ("if-match", base.as_str()), ("content-type", "application/json")];
-    let _ = serial;
+    let _ = version;
     call(CONTROL, "PUT", "/config", &h, body.as_bytes()).await.map_or(0, |a| a.status)
 }
 
@@ -119,20 +120,20 @@
     let llm = Engine::start("i-llm", "127.0.9.40:0").await.unwrap();
     let a = Engine::start("i-a", "127.0.9.41:0").await.unwrap();
     let b = Engine::start("i-b", "127.0.9.42:0").await.unwrap();
-    let row = |s: &str, e: &Engine, area: &str| {
-        (s.to_string(), e.id.clone(), e.addr.to_string(), area.to_string(), "ready".to_string())
+    let row = |s: &str, e: &Engine, zone: &str| {
+        (s.to_string(), e.id.clone(), e.addr.to_string(), zone.to_string(), "ready".to_string())
     };
     let list =
         Arc::new(Mutex::new(vec![row("llm", &llm, "a"), row("app", &a, "a"), row("app", &b, "a")]));
     let cloud = serve_platform("127.0.9.50:0", list).await.unwrap();
     tokio::spawn(control_cell::run_cell(settings("core-1", "core", "127.0.9.1", "a", dir, cloud)));
-    for (i, area) in ["a", "b", "c"].iter().enumerate() {
+    for (i, zone) in ["a", "b", "c"].iter().enumerate() {
         let ip = format!("127.0.9.{}", 10 + i);
         tokio::spawn(turn_store::run_store(settings(
             &format!("store-{i}"),
             "storage",
             &ip,
-            area,
+            zone,
             dir,
             cloud,
         )));
--- a/crates/turn-store/src/owner/work.rs
+++ b/crates/turn-store/src/owner/work.rs
@@ -114,7 +114,7 @@
         id: ident.id,
         name: settings.node_name.clone(),
         addr: settings.own_addr(STORE_PORT),
-        zone: settings.area.clone(),
+        zone: settings.zone.clone(),
         fresh: ident.whole.is_none(),
         version: 0,
         whole: ident.whole.map_or(0, |w| w.1),
