--- a/crates/agreement/src/core/lead.rs
+++ b/crates/agreement/src/core/lead.rs
@@ -1,5 +1,5 @@
 //! What only a leader does: rounds of contact, counting, reads, member changes, handing over.
-use super::machine::{Agreement, Effect};
+use super::machine::{ConsensusNode, Effect};
 use super::role::RoleEvent;
 use crate::prelude::*;
 
@@ -18,7 +18,7 @@
 /// Invariants: a reader is confirmed only by answers to a round that began after it came, and only
 /// once an entry of this term is committed (`first` is the term's first entry).
 #[derive(Debug, Clone)]
-pub struct Lead {
+pub struct LeaderState {
     pub peers: BTreeMap<u64, Peer>,
     pub round: u64,
     pub first: u64,
@@ -28,9 +28,9 @@
     pub readers: Vec<(u64, u64, u64)>,
 }
 
-impl Lead {
+impl LeaderState {
     /// The newest moment at which a majority had been heard.
-    pub fn majority_heard(&self, me: u64, members: &[Member]) -> Option<Duration> {
+    pub fn majority_contact(&self, me: u64, members: &[Member]) -> Option<Duration> {
         let mut at: Vec<Duration> = members
             .iter()
             .map(|m| match self.peers.get(&m.id) {
@@ -47,11 +47,11 @@
 
 const RESEND: Duration = Duration::from_millis(600);
 
-impl Agreement {
+impl ConsensusNode {
     pub(super) fn begin_lead(&mut self, now: Duration) {
         self.leader = Some(self.me);
         let last = self.log.last();
-        self.lead = Some(Lead {
+        self.lead = Some(LeaderState {
             peers: BTreeMap::new(),
             round: 0,
             first: last + 1,
@@ -81,7 +81,7 @@
         let members = self.log.members().to_vec();
         let me = self.me;
         let Some(lead) = &self.lead else { return };
-        let heard = lead.majority_heard(me, &members).unwrap_or(Duration::ZERO).max(lead.began);
+        let heard = lead.majority_contact(me, &members).unwrap_or(Duration::ZERO).max(lead.began);
         if members.len() > 1 && now > heard + high {
             self.leader = None;
             self.go(RoleEvent::Yield);
@@ -265,11 +265,11 @@
             _ => false,
         };
         if early {
-            self.out.push(Effect::Placed { token, at: None });
+            self.out.push(Effect::Appended { token, at: None });
             return;
         }
         let at = self.place(body);
-        self.out.push(Effect::Placed { token, at: Some(at) });
+        self.out.push(Effect::Appended { token, at: Some(at) });
         let ids = self.others();
         for id in ids {
             self.send_to(id, now, false);
--- a/crates/agreement/src/core/machine.rs
+++ b/crates/agreement/src/core/machine.rs
@@ -1,12 +1,12 @@
 //! The state machine of one cell.
-use super::lead::Lead;
+use super::lead::LeaderState;
 use super::log::TermLog;
 use super::role::{Role, RoleEvent, RoleState};
 use crate::prelude::*;
 
 /// What must be on disk before anything that follows from it is said.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     pub term: u64,
     pub voted: Option<u64>,
 }
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone)]
 pub enum Event {
     Tick,
-    Heard {
+    Received {
         from: u64,
         msg: Msg,
     },
@@ -63,7 +63,7 @@
 /// Effects in the order they must be carried out: what is saved comes before what is sent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    SaveHard(Hard),
+    SaveHardState(HardState),
     /// The log from `from` on is replaced by these entries.
     SaveEntries {
         from: u64,
@@ -77,7 +77,7 @@
     Apply(Entry),
     Restore(Snapshot),
     /// A proposal's place in the log, or none when this cell can't take it.
-    Placed {
+    Appended {
         token: u64,
         at: Option<(u64, u64)>,
     },
@@ -91,27 +91,27 @@
 
 /// Invariants: a vote is given once a term and saved before it is said; entries at or below `commit`
 /// never change; `applied <= commit <= log.last()`; only a leader has `lead`.
-pub struct Agreement {
+pub struct ConsensusNode {
     pub me: u64,
-    pub hard: Hard,
+    pub hard: HardState,
     pub log: TermLog,
     pub commit: u64,
     pub applied: u64,
     pub leader: Option<u64>,
     pub tuning: Tuning,
     pub(super) role: InitializedStateMachine<Role>,
-    pub(super) lead: Option<Lead>,
+    pub(super) lead: Option<LeaderState>,
     pub(super) votes: BTreeSet<u64>,
     pub(super) deadline: Duration,
-    pub(super) heard_leader: Option<Duration>,
+    pub(super) last_leader_contact: Option<Duration>,
     pub(super) seed: u64,
     pub(super) out: Vec<Effect>,
 }
 
-impl Agreement {
-    pub fn new(me: u64, hard: Hard, log: TermLog, tuning: Tuning, seed: u64) -> Self {
+impl ConsensusNode {
+    pub fn new(me: u64, hard: HardState, log: TermLog, tuning: Tuning, seed: u64) -> Self {
         let commit = log.snap.index;
-        let mut a = Agreement {
+        let mut a = ConsensusNode {
             me,
             hard,
             commit,
@@ -123,7 +123,7 @@
             lead: None,
             votes: BTreeSet::new(),
             deadline: Duration::ZERO,
-            heard_leader: None,
+            last_leader_contact: None,
             seed,
             out: Vec::new(),
         };
@@ -145,15 +145,15 @@
     }
 
     /// The newest sign of a majority: a follower's leader, or a leader's answered round.
-    pub fn last_touch(&self) -> Option<Duration> {
+    pub fn last_contact(&self) -> Option<Duration> {
         match &self.lead {
-            Some(l) => l.majority_heard(self.me, self.log.members()),
-            None => self.heard_leader.filter(|_| self.leader.is_some()),
+            Some(l) => l.majority_contact(self.me, self.log.members()),
+            None => self.last_leader_contact.filter(|_| self.leader.is_some()),
         }
     }
 
     /// When each follower was last heard, on a leader.
-    pub fn heard_from(&self, id: u64) -> Option<Duration> {
+    pub fn last_contact_with(&self, id: u64) -> Option<Duration> {
         self.lead.as_ref()?.peers.get(&id).map(|p| p.heard)
     }
 
@@ -168,7 +168,7 @@
     pub fn handle(&mut self, ev: Event, now: Duration) -> Vec<Effect> {
         match ev {
             Event::Tick => self.tick(now),
-            Event::Heard { from, msg } => self.heard(from, msg, now),
+            Event::Received { from, msg } => self.heard(from, msg, now),
             Event::Propose { token, body } => self.propose(token, body, now),
             Event::Confirm { token } => self.confirm(token, now),
             Event::HandOver => self.hand_over(now),
@@ -187,7 +187,7 @@
 
     pub(super) fn rest(&mut self, now: Duration) {
         // Until a leader was heard once since the start, nobody is disturbed by asking soon again.
-        let (low, high) = match self.heard_leader {
+        let (low, high) = match self.last_leader_contact {
             None if !self.leads() => (self.tuning.first_low, self.tuning.first_high),
             _ => (self.tuning.election_low, self.tuning.election_high),
         };
@@ -250,8 +250,8 @@
     }
 
     fn stand(&mut self, now: Duration, forced: bool) {
-        self.hard = Hard { term: self.hard.term + 1, voted: Some(self.me) };
-        self.out.push(Effect::SaveHard(self.hard));
+        self.hard = HardState { term: self.hard.term + 1, voted: Some(self.me) };
+        self.out.push(Effect::SaveHardState(self.hard));
         self.leader = None;
         self.votes = BTreeSet::from([self.me]);
         self.rest(now);
@@ -286,8 +286,8 @@
 
     /// Takes up a newer term, as a follower.
     fn newer_term(&mut self, term: u64, now: Duration) {
-        self.hard = Hard { term, voted: None };
-        self.out.push(Effect::SaveHard(self.hard));
+        self.hard = HardState { term, voted: None };
+        self.out.push(Effect::SaveHardState(self.hard));
         let was_lead = self.leads();
         self.go(RoleEvent::Yield);
         self.leader = None;
@@ -304,7 +304,7 @@
         match msg {
             Msg::PreVote { term, last, last_term } => {
                 let calm = self.leads()
-                    || self.heard_leader.is_some_and(|t| now < t + self.tuning.election_low);
+                    || self.last_leader_contact.is_some_and(|t| now < t + self.tuning.election_low);
                 let granted = term > self.hard.term && !calm && self.up_to_date(last, last_term);
                 let reply = Msg::PreVoteReply { term: self.hard.term, granted };
                 self.out.push(Effect::Send { to: from, msg: reply });
@@ -318,7 +318,8 @@
                 }
             }
             Msg::Vote { term, last, last_term, forced } => {
-                let calm = self.heard_leader.is_some_and(|t| now < t + self.tuning.election_low);
+                let calm =
+                    self.last_leader_contact.is_some_and(|t| now < t + self.tuning.election_low);
                 if calm && !forced && term > self.hard.term {
                     return;
                 }
@@ -331,7 +332,7 @@
                     && !self.leads();
                 if granted && self.hard.voted.is_none() {
                     self.hard.voted = Some(from);
-                    self.out.push(Effect::SaveHard(self.hard));
+                    self.out.push(Effect::SaveHardState(self.hard));
                     self.rest(now);
                 }
                 let reply = Msg::VoteReply { term: self.hard.term, granted };
@@ -389,7 +390,7 @@
             self.go(RoleEvent::Yield);
         }
         self.leader = Some(from);
-        self.heard_leader = Some(now);
+        self.last_leader_contact = Some(now);
         self.rest(now);
         true
     }
--- a/crates/agreement/src/core/mod.rs
+++ b/crates/agreement/src/core/mod.rs
@@ -7,5 +7,5 @@
 mod schedule_tests;
 
 pub use log::TermLog;
-pub use machine::{Agreement, Effect, Event, Hard, Tuning};
+pub use machine::{ConsensusNode, Effect, Event, HardState, Tuning};
 pub use role::{Role, RoleEvent};
--- a/crates/agreement/src/core/schedule_tests.rs
+++ b/crates/agreement/src/core/schedule_tests.rs
@@ -4,9 +4,9 @@
 use crate::prelude::*;
 
 struct Node {
-    agree: Agreement,
+    consensus: ConsensusNode,
     /// What the disk holds: survives a crash.
-    hard: Hard,
+    hard: HardState,
     disk: TermLog,
     applied: Vec<(u64, u64, Body)>,
     down: bool,
@@ -47,29 +47,30 @@
             token: 0,
         };
         for id in ids {
-            w.start(*id, Hard::default(), founders(ids));
+            w.start(*id, HardState::default(), founders(ids));
         }
         w
     }
 
-    fn start(&mut self, id: u64, hard: Hard, disk: TermLog) {
-        let agree = Agreement::new(id, hard, disk.clone(), Tuning::default(), id * 77 + self.token);
-        let n = Node { agree, hard, disk, applied: Vec::new(), down: false };
+    fn start(&mut self, id: u64, hard: HardState, disk: TermLog) {
+        let consensus =
+            ConsensusNode::new(id, hard, disk.clone(), Tuning::default(), id * 77 + self.token);
+        let n = Node { consensus, hard, disk, applied: Vec::new(), down: false };
         self.nodes.insert(id, n);
     }
 
     fn step(&mut self, id: u64, ev: Event) {
         let Some(n) = self.nodes.get_mut(&id).filter(|n| !n.down) else { return };
         let now = self.now;
-        for e in n.agree.handle(ev, now) {
+        for e in n.consensus.handle(ev, now) {
             match e {
-                Effect::SaveHard(h) => n.hard = h,
+                Effect::SaveHardState(h) => n.hard = h,
                 Effect::SaveEntries { from, entries } => {
                     n.disk.cut(from);
                     n.disk.entries.extend(entries);
                 }
                 Effect::SaveSnapshot(s) => {
-                    let keep = n.agree.log.entries.clone();
+                    let keep = n.consensus.log.entries.clone();
                     n.disk = TermLog { snap: s, entries: keep };
                 }
                 Effect::Send { to, msg } => self.flight.push((id, to, msg)),
@@ -82,7 +83,7 @@
                     let was = *self.leaders.entry(n.hard.term).or_insert(id);
                     assert_eq!(was, id, "two leaders in term {}", n.hard.term);
                 }
-                Effect::Placed { at: Some((index, _)), .. } => {
+                Effect::Appended { at: Some((index, _)), .. } => {
                     self.acked.insert(index);
                 }
                 _ => {}
@@ -100,7 +101,7 @@
         if self.cut.contains(&from) != self.cut.contains(&to) {
             return;
         }
-        self.step(to, Event::Heard { from, msg });
+        self.step(to, Event::Received { from, msg });
     }
 
     fn crash(&mut self, id: u64) {
@@ -112,7 +113,11 @@
     }
 
     fn leader(&self) -> Option<u64> {
-        self.nodes.iter().filter(|(_, n)| !n.down && n.agree.leads()).map(|(i, _)| *i).next_back()
+        self.nodes
+            .iter()
+            .filter(|(_, n)| !n.down && n.consensus.leads())
+            .map(|(i, _)| *i)
+            .next_back()
     }
 
     fn propose(&mut self, body: Body) {
@@ -162,9 +167,9 @@
     while !w.flight.is_empty() {
         w.deliver(0, false);
     }
-    let new = w.nodes.iter().find(|(i, n)| **i != old && n.agree.leads());
+    let new = w.nodes.iter().find(|(i, n)| **i != old && n.consensus.leads());
     assert!(new.is_some());
-    assert!(!w.nodes[&old].agree.leads());
+    assert!(!w.nodes[&old].consensus.leads());
 }
 
 #[test]
@@ -175,11 +180,11 @@
     w.cut.insert(old);
     let now = w.now;
     let n = w.nodes.get_mut(&old).unwrap();
-    let out = n.agree.handle(Event::Confirm { token: 5 }, now);
+    let out = n.consensus.handle(Event::Confirm { token: 5 }, now);
     assert!(!out.iter().any(|e| matches!(e, Effect::Confirmed { .. })));
-    let out = n.agree.handle(Event::Tick, now + Duration::from_secs(2));
+    let out = n.consensus.handle(Event::Tick, now + Duration::from_secs(2));
     assert!(out.contains(&Effect::Confirmed { token: 5, index: None }));
-    assert!(!n.agree.leads());
+    assert!(!n.consensus.leads());
 }
 
 #[test]
@@ -191,13 +196,13 @@
         w.settle();
     }
     let l = w.leader().unwrap();
-    let at = w.nodes[&l].agree.applied;
+    let at = w.nodes[&l].consensus.applied;
     w.step(l, Event::Compact { index: at, data: ByteBuf::from(vec![1]) });
-    w.start(9, Hard::default(), TermLog::default());
+    w.start(9, HardState::default(), TermLog::default());
     w.propose(Body::Members([1, 2, 3, 9].map(member).to_vec()));
     w.settle();
-    assert!(w.nodes[&9].agree.is_member());
-    assert_eq!(w.nodes[&9].agree.applied, w.nodes[&l].agree.applied);
+    assert!(w.nodes[&9].consensus.is_member());
+    assert_eq!(w.nodes[&9].consensus.applied, w.nodes[&l].consensus.applied);
 }
 
 /// Agreed entries never change, no term has two leaders, and when calm returns the cells agree and
@@ -248,12 +253,12 @@
                         let ids: Vec<u64> = w.nodes.keys().copied().collect();
                         let id = *u.choose(&ids)?;
                         w.nodes.remove(&id);
-                        w.start(fresh, Hard::default(), TermLog::default());
+                        w.start(fresh, HardState::default(), TermLog::default());
                         fresh += 1;
                     }
                     18 => {
                         if let Some(l) = w.leader() {
-                            let a = &w.nodes[&l].agree;
+                            let a = &w.nodes[&l].consensus;
                             let mut m = a.log.members().to_vec();
                             if let Some(i) = m.iter().position(|m| !w.nodes.contains_key(&m.id)) {
                                 m.remove(i);
@@ -267,7 +272,7 @@
                     }
                     19 => {
                         if let Some(l) = w.leader() {
-                            let at = w.nodes[&l].agree.applied;
+                            let at = w.nodes[&l].consensus.applied;
                             w.step(l, Event::Compact { index: at, data: ByteBuf::new() });
                         }
                     }
--- a/crates/agreement/src/prelude.rs
+++ b/crates/agreement/src/prelude.rs
@@ -1,5 +1,5 @@
 //! The one module every file of this package imports.
-pub use crate::core::{Agreement, Effect, Event, Hard, Tuning};
+pub use crate::core::{ConsensusNode, Effect, Event, HardState, Tuning};
 pub use crate::store::AgreementDisk;
 pub use inner_protocol::cells::{Body, Entry, Member, Msg, Snapshot};
 pub use inner_protocol::prelude::*;
--- a/crates/agreement/src/store/mod.rs
+++ b/crates/agreement/src/store/mod.rs
@@ -7,7 +7,7 @@
 
 #[derive(Serialize, Deserialize)]
 enum Rec {
-    Hard(Hard),
+    HardState(HardState),
     Entries { from: u64, entries: Vec<Entry> },
 }
 
@@ -18,7 +18,7 @@
 
 impl AgreementDisk {
     /// Reads what was saved. The disk was never used when the returned log and vote are empty.
-    pub fn open(dir: &Path) -> NodeResult<(Self, Hard, TermLog)> {
+    pub fn open(dir: &Path) -> NodeResult<(Self, HardState, TermLog)> {
         std::fs::create_dir_all(dir)
             .map_err(|e| NodeError::Io { what: dir.display().to_string(), source: e })?;
         let mut tl = TermLog::default();
@@ -29,10 +29,10 @@
                 reason: "not a snapshot".into(),
             })?;
         }
-        let mut hard = Hard::default();
+        let mut hard = HardState::default();
         let mut bad = false;
         let log = SegmentLog::open(&dir.join("log"), |_, b| match decode::<Rec>(b) {
-            Some(Rec::Hard(h)) => hard = h,
+            Some(Rec::HardState(h)) => hard = h,
             Some(Rec::Entries { from, entries }) => {
                 tl.cut(from);
                 let next = tl.last() + 1;
@@ -53,8 +53,8 @@
         Ok((disk, hard, tl))
     }
 
-    pub fn save_hard(&mut self, hard: Hard) {
-        self.log.append(&encode(&Rec::Hard(hard)));
+    pub fn save_hard_state(&mut self, hard: HardState) {
+        self.log.append(&encode(&Rec::HardState(hard)));
     }
 
     pub fn save_entries(&mut self, from: u64, entries: &[Entry]) {
@@ -67,11 +67,11 @@
     }
 
     /// Puts the snapshot in place, then begins a segment with the vote and the entries above it.
-    pub fn save_snapshot(&mut self, hard: Hard, tl: &TermLog) -> NodeResult<()> {
+    pub fn save_snapshot(&mut self, hard: HardState, tl: &TermLog) -> NodeResult<()> {
         self.log.sync()?;
         save_snapshot(&self.dir, SNAPSHOT, &encode(&tl.snap))?;
         self.log.rotate()?;
-        self.save_hard(hard);
+        self.save_hard_state(hard);
         self.save_entries(tl.snap.index + 1, &tl.entries);
         self.log.sync()?;
         let no = self.log.segment_no();
@@ -94,8 +94,8 @@
         let entry = |index, term| Entry { index, term, body: Body::Noop };
         {
             let (mut disk, hard, tl) = AgreementDisk::open(&d).unwrap();
-            assert_eq!((hard, tl.last()), (Hard::default(), 0));
-            disk.save_hard(Hard { term: 1, voted: Some(7) });
+            assert_eq!((hard, tl.last()), (HardState::default(), 0));
+            disk.save_hard_state(HardState { term: 1, voted: Some(7) });
             disk.save_entries(1, &[entry(1, 1), entry(2, 1), entry(3, 1)]);
             disk.save_entries(3, &[entry(3, 2)]);
             disk.sync().unwrap();
--- a/crates/control-cell/src/owner/agree.rs
+++ b/crates/control-cell/src/actor/consensus.rs
@@ -1,17 +1,17 @@
 //! Carries out what the agreement decides: disk first, then what may be said.
-use super::work::{Owner, Reader};
+use super::work::{Actor, Reader};
 use crate::prelude::*;
 
 /// Entries above the snapshot before the next one is made.
 const SNAPSHOT_EVERY: u64 = 256;
 
-impl Owner {
+impl Actor {
     /// False when the disk failed.
     pub fn agree_on(&mut self, ev: Event) -> bool {
         let now = self.began.elapsed();
-        let effects = self.agree.handle(ev, now);
-        if self.agree.leader.is_some() && !self.agree.leads() {
-            self.last_leader = self.agree.leader;
+        let effects = self.consensus.handle(ev, now);
+        if self.consensus.leader.is_some() && !self.consensus.leads() {
+            self.last_leader = self.consensus.leader;
         }
         self.carry_out(effects)
     }
@@ -20,8 +20,8 @@
         let mut dirty = false;
         for e in &effects {
             match e {
-                Effect::SaveHard(h) => {
-                    self.disk.save_hard(*h);
+                Effect::SaveHardState(h) => {
+                    self.disk.save_hard_state(*h);
                     dirty = true;
                 }
                 Effect::SaveEntries { from, entries } => {
@@ -29,7 +29,9 @@
                     dirty = true;
                 }
                 Effect::SaveSnapshot(_) => {
-                    if let Err(e) = self.disk.save_snapshot(self.agree.hard, &self.agree.log) {
+                    if let Err(e) =
+                        self.disk.save_snapshot(self.consensus.hard, &self.consensus.log)
+                    {
                         spdlog::error!("{}", e);
                         return false;
                     }
@@ -63,20 +65,20 @@
                         return false;
                     }
                 }
-                Effect::Placed { token, at } => self.was_placed(token, at),
+                Effect::Appended { token, at } => self.was_appended(token, at),
                 Effect::Confirmed { token, index } => {
                     if let Some(r) = self.unconfirmed.remove(&token) {
                         self.confirmed(r, index);
                     }
                 }
                 Effect::RoleIs(role) => {
-                    info!("role {:?} in term {}", role, self.agree.hard.term);
-                    self.lead_since = self.agree.leads().then(Instant::now);
-                    if self.agree.leads() {
+                    info!("role {:?} in term {}", role, self.consensus.hard.term);
+                    self.lead_since = self.consensus.leads().then(Instant::now);
+                    if self.consensus.leads() {
                         self.old_leader = self.last_leader.filter(|l| *l != self.me.id);
                         self.next_duty = Instant::now();
                     }
-                    if !self.agree.leads() {
+                    if !self.consensus.leads() {
                         for (_, (_, r)) in self.placed.drain() {
                             let _ = r.send(CellReply::Unable);
                         }
@@ -93,7 +95,8 @@
     }
 
     fn send(&mut self, to: u64, msg: Msg) {
-        let known = self.agree.log.members().iter().find(|m| m.id == to).map(|m| m.addr.clone());
+        let known =
+            self.consensus.log.members().iter().find(|m| m.id == to).map(|m| m.addr.clone());
         let Some(addr) = known.or_else(|| self.addrs.get(&to).cloned()) else {
             return;
         };
@@ -110,7 +113,7 @@
         self.agree_on(Event::Propose { token, body })
     }
 
-    fn was_placed(&mut self, token: u64, at: Option<(u64, u64)>) {
+    fn was_appended(&mut self, token: u64, at: Option<(u64, u64)>) {
         let Some(r) = self.proposals.remove(&token) else {
             return;
         };
@@ -171,7 +174,7 @@
         for (_, r) in ready {
             self.serve_reader(r, index);
         }
-        if index - self.agree.log.snap.index >= SNAPSHOT_EVERY || self.disk.wants_snapshot() {
+        if index - self.consensus.log.snap.index >= SNAPSHOT_EVERY || self.disk.wants_snapshot() {
             let data = ByteBuf::from(encode(&self.state).to_vec());
             return self.agree_on(Event::Compact { index, data });
         }
@@ -183,7 +186,7 @@
         self.token += 1;
         let token = self.token;
         self.unconfirmed.insert(token, r);
-        if self.agree.leads() {
+        if self.consensus.leads() {
             return self.agree_on(Event::Confirm { token });
         }
         let Some(addr) = self.leader_addr() else {
@@ -218,7 +221,7 @@
                     let _ = tx.send(CellReply::Unable);
                 }
             },
-            Some(i) if i <= self.agree.applied => self.serve_reader(r, i),
+            Some(i) if i <= self.consensus.applied => self.serve_reader(r, i),
             Some(i) => self.unapplied.push((i, r)),
         }
     }
--- a/crates/control-cell/src/owner/feed.rs
+++ b/crates/control-cell/src/actor/feed.rs
@@ -3,7 +3,7 @@
 mod tests;
 
 use super::handle::FeedReceiver;
-use super::work::Owner;
+use super::work::Actor;
 use crate::prelude::*;
 
 const KEPT: usize = 64;
@@ -71,11 +71,11 @@
     }
 }
 
-impl Owner {
+impl Actor {
     pub fn publish_state(&mut self) -> bool {
         self.publish_config();
         self.publish_stores();
-        let index = self.agree.log.members_index();
+        let index = self.consensus.log.members_index();
         self.publish_cells(index);
         self.publish_trial();
         self.hold_zones();
@@ -118,7 +118,7 @@
     }
 
     fn cells_item(&self, index: u64) -> FeedItem {
-        let members = self.agree.log.members();
+        let members = self.consensus.log.members();
         FeedItem::Cells {
             index,
             addrs: members.iter().map(|m| m.addr.clone()).collect(),
@@ -139,7 +139,7 @@
             if self.state.stores.version > 0 {
                 list.push(FeedItem::Stores(self.state.stores.clone()));
             }
-            list.push(self.cells_item(self.agree.log.members_index()));
+            list.push(self.cells_item(self.consensus.log.members_index()));
             list.extend(self.trial_item());
             list.extend(self.tables.values().cloned().map(FeedItem::Zone));
             items.extend(list.into_iter().map(|item| Numbered { no: self.feed.no, item }));
@@ -156,7 +156,7 @@
         if now < self.feed.next_beat || self.feed.followers.is_empty() {
             return;
         }
-        let touch = self.agree.last_touch();
+        let touch = self.consensus.last_contact();
         let fresh = touch.is_some_and(|t| self.began.elapsed() < t + Duration::from_millis(700));
         if !fresh {
             self.feed.followers.clear();
@@ -215,7 +215,8 @@
     }
 
     pub fn tell_table(&mut self, table: &ZoneTable) {
-        let addrs: Vec<String> = self.agree.log.members().iter().map(|m| m.addr.clone()).collect();
+        let addrs: Vec<String> =
+            self.consensus.log.members().iter().map(|m| m.addr.clone()).collect();
         for a in addrs {
             if a != self.me.addr {
                 self.caller(&a).tell(&CellCall::Table { table: table.clone() });
--- a/crates/control-cell/src/owner/handle.rs
+++ b/crates/control-cell/src/actor/handle.rs
@@ -1,5 +1,5 @@
 //! The handle that the cell's tasks use, and the commands behind it.
-use super::work::Owner;
+use super::work::Actor;
 use crate::prelude::*;
 
 /// Encoded `FeedMsg::Items`.
@@ -100,7 +100,7 @@
 /// Opens the disk and starts the owner.
 pub fn start(settings: &Arc<NodeSettings>) -> NodeResult<CellHandle> {
     let (tx, rx) = mpsc::channel(2048);
-    let owner = Owner::open(settings.clone(), tx.clone())?;
+    let owner = Actor::open(settings.clone(), tx.clone())?;
     tokio::spawn(owner.run(rx));
     Ok(CellHandle { queue: tx })
 }
--- a/crates/control-cell/src/owner/lead.rs
+++ b/crates/control-cell/src/actor/lead.rs
@@ -1,5 +1,5 @@
 //! The cell's regular duties, and the leader's.
-use super::work::Owner;
+use super::work::Actor;
 use crate::duties::may_retire;
 use crate::prelude::*;
 use node_base::settings::CELL_PORT;
@@ -11,7 +11,7 @@
 /// read well within the time in which leaving engines are to be left alone.
 const HOLDER_SILENT: Duration = Duration::from_millis(600);
 
-impl Owner {
+impl Actor {
     fn lead_since_elapsed(&self) -> Option<Duration> {
         Some(self.lead_since?.duration_since(self.began))
     }
@@ -30,12 +30,12 @@
                 self.tell_table(&t);
             }
         }
-        if !self.agree.leads() {
+        if !self.consensus.leads() {
             self.ask_to_join(now);
             self.tell_leader_all(now);
             return true;
         }
-        if self.agree.commit < self.agree.log.last() {
+        if self.consensus.commit < self.consensus.log.last() {
             // One thing at a time: what was proposed last isn't agreed on yet.
             return true;
         }
@@ -51,10 +51,10 @@
         }
         self.next_join = now + Duration::from_millis(500);
         let heard = self
-            .agree
-            .last_touch()
+            .consensus
+            .last_contact()
             .is_some_and(|t| self.began.elapsed() < t + Duration::from_millis(1500));
-        let known = self.agree.log.members().contains(&self.me);
+        let known = self.consensus.log.members().contains(&self.me);
         if heard && known || self.ending.is_some() {
             return;
         }
@@ -64,7 +64,7 @@
             .iter()
             .map(|s| self.settings.inner_addr(&s.ip().to_string(), CELL_PORT))
             .collect();
-        addrs.extend(self.agree.log.members().iter().map(|m| m.addr.clone()));
+        addrs.extend(self.consensus.log.members().iter().map(|m| m.addr.clone()));
         addrs.remove(&self.me.addr);
         for a in addrs {
             self.caller(&a).tell(&CellCall::Join { member: self.me.clone() });
@@ -86,14 +86,14 @@
                 Some(old) if old == id => Duration::from_secs(1),
                 _ => Duration::ZERO,
             };
-            match self.agree.heard_from(id) {
+            match self.consensus.last_contact_with(id) {
                 Some(t) if self.lead_since_elapsed().is_some_and(|s| t > s) => {
                     elapsed.saturating_sub(t)
                 }
                 _ => calm + before,
             }
         };
-        let members = self.agree.log.members().to_vec();
+        let members = self.consensus.log.members().to_vec();
 
         // A founder's entry learns its name and zone when the cell itself tells them.
         let named: Vec<Member> = members
@@ -118,10 +118,10 @@
             return self.change(Change::PutHolders { holders });
         }
 
-        let seen: Vec<StoreSight> = self
-            .sights
+        let seen: Vec<StoreObservation> = self
+            .store_reports
             .values()
-            .map(|(s, at)| StoreSight { status: s.clone(), silent: now.duration_since(*at) })
+            .map(|(s, at)| StoreObservation { status: s.clone(), silent: now.duration_since(*at) })
             .collect();
         if let Some(set) =
             next_stores(&self.state.stores, &seen, calm, self.settings.tolerated.stores())
@@ -139,8 +139,8 @@
 
     /// A store's word about itself goes to the leader.
     pub fn announced(&mut self, status: StoreStatus) {
-        if self.agree.leads() {
-            self.sights.insert(status.id, (status, Instant::now()));
+        if self.consensus.leads() {
+            self.store_reports.insert(status.id, (status, Instant::now()));
         } else if let Some(l) = self.leader_addr() {
             self.caller(&l).tell(&CellCall::Announce { status });
         }
--- a/crates/control-cell/src/owner/mod.rs
+++ b/crates/control-cell/src/actor/mod.rs
@@ -1,5 +1,5 @@
 //! The one owner of a cell's tables, which works through a queue of commands.
-mod agree;
+mod consensus;
 mod feed;
 mod handle;
 mod lead;
--- a/crates/control-cell/src/owner/trial.rs
+++ b/crates/control-cell/src/actor/trial.rs
@@ -1,5 +1,5 @@
 //! The routing trial: its record, what nodes counted, and the leader's judgement.
-use super::work::Owner;
+use super::work::Actor;
 use crate::prelude::*;
 
 /// Looks kept for the plot; beyond, every second one goes.
@@ -52,7 +52,7 @@
         .map_or(0, |d| d.as_millis() as u64)
 }
 
-impl Owner {
+impl Actor {
     pub fn trial_item(&self) -> Option<FeedItem> {
         let trial = self.state.trial.as_ref()?.for_nodes();
         Some(FeedItem::Trial { index: self.state.trial_index, trial: Box::new(trial) })
@@ -92,7 +92,7 @@
         if reports.is_empty() {
             return;
         }
-        let to = match self.agree.leads() {
+        let to = match self.consensus.leads() {
             true => self.heard_last(),
             false => self.leader_addr(),
         };
@@ -103,13 +103,13 @@
 
     /// The other member that the leader heard last.
     fn heard_last(&self) -> Option<String> {
-        let others = self.agree.log.members().iter().filter(|m| m.id != self.me.id);
-        others.max_by_key(|m| self.agree.heard_from(m.id)).map(|m| m.addr.clone())
+        let others = self.consensus.log.members().iter().filter(|m| m.id != self.me.id);
+        others.max_by_key(|m| self.consensus.last_contact_with(m.id)).map(|m| m.addr.clone())
     }
 
     /// The leader is told all that this cell keeps, first of all one that is new to it.
     pub fn tell_leader_all(&mut self, now: Instant) {
-        let (Some(_), Some(id)) = (self.running_trial(), self.agree.leader) else {
+        let (Some(_), Some(id)) = (self.running_trial(), self.consensus.leader) else {
             return;
         };
         if self.trial.told.is_some_and(|(told, next)| told == id && now < next) {
--- a/crates/control-cell/src/owner/work.rs
+++ b/crates/control-cell/src/actor/work.rs
@@ -18,16 +18,16 @@
     Index(oneshot::Sender<CellReply>),
 }
 
-/// Invariants: `state` is what the log says up to `agree.applied`; `placed` holds proposals made here
+/// Invariants: `state` is what the log says up to `consensus.applied`; `placed` holds proposals made here
 /// in this term and not yet applied; a reader is served only when its index is applied.
-pub(super) struct Owner {
+pub(super) struct Actor {
     pub settings: Arc<NodeSettings>,
     pub queue: mpsc::Sender<CellCommand>,
     pub me: Member,
     /// Starts on this disk: what this cell numbers never goes back over a restart.
     pub lives: u64,
     pub began: Instant,
-    pub agree: Agreement,
+    pub consensus: ConsensusNode,
     pub disk: AgreementDisk,
     pub state: CellState,
     pub callers: HashMap<String, Caller>,
@@ -40,7 +40,7 @@
     pub unapplied: Vec<(u64, Reader)>,
     pub feed: FeedBook,
     pub tables: BTreeMap<String, ZoneTable>,
-    pub sights: HashMap<u64, (StoreStatus, Instant)>,
+    pub store_reports: HashMap<u64, (StoreStatus, Instant)>,
     pub joiners: HashMap<u64, (Member, Instant)>,
     pub leaving: HashMap<u64, Instant>,
     pub held: watch::Sender<Held>,
@@ -59,7 +59,7 @@
     fnv64(addr.as_bytes()) | 1 << 63
 }
 
-impl Owner {
+impl Actor {
     pub fn open(settings: Arc<NodeSettings>, queue: mpsc::Sender<CellCommand>) -> NodeResult<Self> {
         let Some(dir) = settings.data_dir.clone() else {
             return Err(NodeError::BadSettings {
@@ -116,8 +116,8 @@
             tokio::spawn(read_lists(cloud, settings.bounds.drain, watch_held, queue.clone()));
         }
         let now = Instant::now();
-        Ok(Owner {
-            agree: Agreement::new(id, hard, log, Tuning::default(), seed),
+        Ok(Actor {
+            consensus: ConsensusNode::new(id, hard, log, Tuning::default(), seed),
             settings,
             queue,
             me,
@@ -134,7 +134,7 @@
             unapplied: Vec::new(),
             feed: FeedBook::default(),
             tables: BTreeMap::new(),
-            sights: HashMap::new(),
+            store_reports: HashMap::new(),
             joiners: HashMap::new(),
             leaving: HashMap::new(),
             held,
@@ -152,7 +152,7 @@
     pub async fn run(mut self, mut rx: mpsc::Receiver<CellCommand>) {
         let mut ok = self.publish_state();
         while ok {
-            let tick = self.began + self.agree.next_tick();
+            let tick = self.began + self.consensus.next_tick();
             let wake = tick.min(self.next_duty).max(Instant::now());
             tokio::select! {
                 cmd = rx.recv() => match cmd {
@@ -171,7 +171,7 @@
                 _ = tokio::time::sleep_until(wake.into()) => {}
             }
             let now = Instant::now();
-            if ok && now >= self.began + self.agree.next_tick() {
+            if ok && now >= self.began + self.consensus.next_tick() {
                 ok = self.agree_on(Event::Tick);
             }
             if ok && now >= self.next_duty {
@@ -179,7 +179,7 @@
                 ok = self.duties(now);
             }
             if let Some((at, _)) = &self.ending {
-                if now >= *at || !self.agree.leads() {
+                if now >= *at || !self.consensus.leads() {
                     if let Some((_, tx)) = self.ending.take() {
                         let _ = tx.send(());
                     }
@@ -194,7 +194,7 @@
         match cmd {
             CellCommand::Tell(CellCall::Agree { from, addr, msg }) => {
                 self.addrs.insert(from, addr);
-                return self.agree_on(Event::Heard { from, msg });
+                return self.agree_on(Event::Received { from, msg });
             }
             CellCommand::Tell(CellCall::Table { table }) => self.take_table(table),
             CellCommand::Tell(CellCall::Announce { status }) => self.announced(status),
@@ -215,7 +215,7 @@
                 }
             }
             CellCommand::Leave(reply) => {
-                if self.agree.leads() {
+                if self.consensus.leads() {
                     let keep = Duration::from_millis(1200);
                     self.leaving.insert(self.me.id, Instant::now());
                     self.ending = Some((Instant::now() + keep, reply));
@@ -234,21 +234,21 @@
     fn called(&mut self, call: CellCall, reply: oneshot::Sender<CellReply>) -> bool {
         match call {
             CellCall::Propose { change } => {
-                if self.agree.leads() {
+                if self.consensus.leads() {
                     let body = Body::Command(ByteBuf::from(encode(&change).to_vec()));
                     return self.propose(body, Some(reply));
                 }
                 self.forward(CellCall::Propose { change }, reply);
             }
             CellCall::Confirm => {
-                if self.agree.leads() {
+                if self.consensus.leads() {
                     return self.confirm_for(Reader::Index(reply));
                 }
                 let _ = reply.send(CellReply::Unable);
             }
             CellCall::Join { member } => {
-                if self.agree.leads() {
-                    if !self.agree.log.members().contains(&member) {
+                if self.consensus.leads() {
+                    if !self.consensus.log.members().contains(&member) {
                         self.joiners.insert(member.id, (member, Instant::now()));
                     }
                     let _ = reply.send(CellReply::Done);
@@ -261,15 +261,15 @@
                 let _ = reply.send(CellReply::Done);
             }
             CellCall::Announce { status } => {
-                if self.agree.leads() {
-                    self.sights.insert(status.id, (status, Instant::now()));
+                if self.consensus.leads() {
+                    self.store_reports.insert(status.id, (status, Instant::now()));
                     let _ = reply.send(CellReply::Done);
                 } else {
                     let _ = reply.send(CellReply::Unable);
                 }
             }
             CellCall::Retire { store, ask_only } => {
-                if self.agree.leads() {
+                if self.consensus.leads() {
                     return self.retire(store, ask_only, reply);
                 }
                 self.forward(CellCall::Retire { store, ask_only }, reply);
@@ -278,7 +278,7 @@
                 let _ = reply.send(CellReply::Told(self.told()));
             }
             CellCall::Trial { ask } => {
-                if self.agree.leads() {
+                if self.consensus.leads() {
                     return self.asked_of_trial(ask, reply);
                 }
                 self.forward(CellCall::Trial { ask }, reply);
@@ -309,11 +309,12 @@
     }
 
     pub fn leader_addr(&self) -> Option<String> {
-        let id = self.agree.leader?;
+        let id = self.consensus.leader?;
         if id == self.me.id {
             return None;
         }
-        let known = self.agree.log.members().iter().find(|m| m.id == id).map(|m| m.addr.clone());
+        let known =
+            self.consensus.log.members().iter().find(|m| m.id == id).map(|m| m.addr.clone());
         known.or_else(|| self.addrs.get(&id).cloned())
     }
 
@@ -326,21 +327,21 @@
 
     fn told(&self) -> CellTold {
         let name = |id: &u64| {
-            let m = self.agree.log.members().iter().find(|m| m.id == *id);
+            let m = self.consensus.log.members().iter().find(|m| m.id == *id);
             m.map(|m| if m.name.is_empty() { m.addr.clone() } else { m.name.clone() })
         };
         CellTold {
             name: self.me.name.clone(),
-            term: self.agree.hard.term,
-            leader: self.agree.leader.as_ref().and_then(name),
-            cells: self.agree.log.members().iter().map(|m| m.addr.clone()).collect(),
+            term: self.consensus.hard.term,
+            leader: self.consensus.leader.as_ref().and_then(name),
+            cells: self.consensus.log.members().iter().map(|m| m.addr.clone()).collect(),
             unix_ms: std::time::SystemTime::now()
                 .duration_since(std::time::UNIX_EPOCH)
                 .map_or(0, |d| d.as_millis() as u64),
-            commit: self.agree.commit,
-            applied: self.agree.applied,
+            commit: self.consensus.commit,
+            applied: self.consensus.applied,
             config_version: self.state.config_version(),
-            members: self.agree.log.members().iter().filter_map(|m| name(&m.id)).collect(),
+            members: self.consensus.log.members().iter().filter_map(|m| name(&m.id)).collect(),
             stores: self
                 .state
                 .stores
--- a/crates/control-cell/src/duties/mod.rs
+++ b/crates/control-cell/src/duties/mod.rs
@@ -6,4 +6,4 @@
 
 pub use holders::next_holders;
 pub use members::next_members;
-pub use stores::{may_retire, next_stores, StoreSight};
+pub use stores::{may_retire, next_stores, StoreObservation};
--- a/crates/control-cell/src/duties/stores.rs
+++ b/crates/control-cell/src/duties/stores.rs
@@ -4,7 +4,7 @@
 
 /// What the leader has seen of a store: its newest word, and how long ago.
 #[derive(Debug, Clone)]
-pub struct StoreSight {
+pub struct StoreObservation {
     pub status: StoreStatus,
     pub silent: Duration,
 }
@@ -36,13 +36,13 @@
 /// how many stores may be lost at once.
 pub fn next_stores(
     set: &StoreSet,
-    seen: &[StoreSight],
+    seen: &[StoreObservation],
     calm: Duration,
     tolerated: u32,
 ) -> Option<StoreSet> {
     let since = set.version + 1;
     if set.stores.is_empty() && set.version == 0 {
-        let founders: Vec<&StoreSight> = seen.iter().filter(|s| !s.status.fresh).collect();
+        let founders: Vec<&StoreObservation> = seen.iter().filter(|s| !s.status.fresh).collect();
         if founders.is_empty() || calm < FOUNDING {
             return None;
         }
@@ -93,7 +93,7 @@
 }
 
 /// All stores at work are whole under this set; those that are silent are no more than may be lost.
-fn all_whole(set: &StoreSet, seen: &[StoreSight], calm: Duration) -> bool {
+fn all_whole(set: &StoreSet, seen: &[StoreObservation], calm: Duration) -> bool {
     let mut missing = 0;
     for e in set.stores.iter().filter(|e| e.state == StoreState::Seated) {
         match seen.iter().find(|s| s.status.id == e.id) {
--- a/crates/control-cell/src/lib.rs
+++ b/crates/control-cell/src/lib.rs
@@ -1,10 +1,10 @@
 //! A cell: keeps its zones' engines and nodes, agrees with the other cells on the configuration, and
 //! serves `control`.
+pub mod actor;
 pub mod duties;
 pub mod follow;
 pub mod listing;
 pub mod operator;
-pub mod owner;
 pub mod prelude;
 pub mod state;
 
@@ -23,7 +23,7 @@
         Some(a) => Some(bind(a.to_string()).await?),
         None => None,
     };
-    let cell = owner::start(&settings)?;
+    let cell = actor::start(&settings)?;
     let h = cell.clone();
     tokio::spawn(node_base::links::serve_calls(inner, move |q: CellCall| {
         let h = h.clone();
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -1,8 +1,8 @@
 //! The one module every file of this package imports.
-pub use crate::duties::{next_holders, next_members, next_stores, StoreSight};
-pub use crate::owner::{CellCommand, CellHandle, Wants};
+pub use crate::actor::{CellCommand, CellHandle, Wants};
+pub use crate::duties::{next_holders, next_members, next_stores, StoreObservation};
 pub use crate::state::CellState;
-pub use agreement::prelude::{Agreement, AgreementDisk, Effect, Event, Hard, Tuning};
+pub use agreement::prelude::{AgreementDisk, ConsensusNode, Effect, Event, HardState, Tuning};
 pub use inner_protocol::cells::{
     Body, CellCall, CellReply, CellTold, Change, Entry, Member, Msg, Outcome, RetireState,
     Snapshot, TrialAsk, TrialTold,
--- a/crates/control-cell/tests/stores.rs
+++ b/crates/control-cell/tests/stores.rs
@@ -14,25 +14,25 @@
     }
 }
 
-fn seen(list: &[(u64, &str, bool)]) -> Vec<StoreSight> {
+fn seen(list: &[(u64, &str, bool)]) -> Vec<StoreObservation> {
     list.iter()
-        .map(|(id, n, f)| StoreSight { status: status(*id, n, *f), silent: Duration::ZERO })
+        .map(|(id, n, f)| StoreObservation { status: status(*id, n, *f), silent: Duration::ZERO })
         .collect()
 }
 
-fn founded() -> (StoreSet, Vec<StoreSight>) {
+fn founded() -> (StoreSet, Vec<StoreObservation>) {
     let s = seen(&[(1, "a", false), (2, "b", false), (3, "c", false), (4, "d", false)]);
     let set = next_stores(&StoreSet::default(), &s, Duration::from_secs(2), 1).unwrap();
     (set, s)
 }
 
-fn whole(s: &mut [StoreSight], version: u64) {
+fn whole(s: &mut [StoreObservation], version: u64) {
     s.iter_mut().for_each(|x| x.status.whole = version);
 }
 
 const LONG: Duration = Duration::from_secs(60);
 
-fn due(set: &StoreSet, s: &[StoreSight]) -> Option<StoreSet> {
+fn due(set: &StoreSet, s: &[StoreObservation]) -> Option<StoreSet> {
     next_stores(set, s, LONG, 1)
 }
 
@@ -95,7 +95,7 @@
     let (set, mut s) = founded();
     s[0].silent = Duration::from_secs(5);
     assert!(due(&set, &s).is_none());
-    s.push(StoreSight { status: status(9, "n", true), silent: Duration::ZERO });
+    s.push(StoreObservation { status: status(9, "n", true), silent: Duration::ZERO });
     s[4].status.zone = "zone-a".into();
     let set = due(&set, &s).unwrap();
     assert!(set.find(1).is_none() && set.find(9).is_some());
--- a/crates/stand-ins/tests/store_schedules.rs
+++ b/crates/stand-ins/tests/store_schedules.rs
@@ -2,7 +2,7 @@
 //! wiped (as many at once as are tolerated), added, emptied and taken away; proxies work under old
 //! sets; copying comes in any order. No turn that was acknowledged is ever called unknown, and no open
 //! misses a reservation that was acknowledged.
-use control_cell::prelude::{next_stores, StoreSight};
+use control_cell::prelude::{next_stores, StoreObservation};
 use dispatcher::prelude::{ClaimDecision, ClaimTally, NewAttempt, Pinned, Reread};
 use request_proxy::prelude::{OpenFault, OpenLedger, OpenStep};
 use stand_ins::prelude::*;
@@ -145,10 +145,10 @@
     }
 
     fn lead(&mut self) {
-        let seen: Vec<StoreSight> = self
+        let seen: Vec<StoreObservation> = self
             .stores
             .iter()
-            .map(|s| StoreSight {
+            .map(|s| StoreObservation {
                 status: StoreStatus {
                     id: s.id,
                     name: s.name.clone(),
--- a/crates/turn-store/src/owner/work.rs
+++ b/crates/turn-store/src/actor/work.rs
@@ -59,7 +59,7 @@
 
 /// Invariants: what is answered is synced; `ends[i]` is when the last record of segment `i` may be
 /// forgotten, and a segment is removed only after that.
-struct Owner {
+struct Actor {
     dir: PathBuf,
     name: String,
     ident: Identity,
@@ -126,7 +126,7 @@
     let disk = settings.limits.disk_mb.max(64) << 20;
     let (due, due_rx) = watch::channel(0);
     tokio::spawn(sync_with_all(handle.clone(), ident.id, due_rx));
-    let owner = Owner {
+    let owner = Actor {
         dir,
         name: settings.node_name.clone(),
         ident,
@@ -142,7 +142,7 @@
     Ok((handle, srx))
 }
 
-impl Owner {
+impl Actor {
     async fn run(mut self, mut rx: mpsc::Receiver<StoreCommand>) {
         let mut sweep = Instant::now() + Duration::from_secs(10);
         loop {
--- a/crates/turn-store/src/lib.rs
+++ b/crates/turn-store/src/lib.rs
@@ -1,6 +1,6 @@
 //! A store: keeps turns and the allowance's ledger on disk, in a majority of the group that keeps a program.
+pub mod actor;
 pub mod knowledge;
-pub mod owner;
 pub mod prelude;
 pub mod tables;
 
@@ -11,7 +11,7 @@
     let addr = settings.own_addr(STORE_PORT);
     let listener =
         TcpListener::bind(&addr).await.map_err(|e| NodeError::Io { what: addr, source: e })?;
-    let (store, status) = owner::start(&settings)?;
+    let (store, status) = actor::start(&settings)?;
     let (tx, mut rx) = mpsc::channel(64);
     tokio::spawn(follow_cells(FollowSettings::of_cells(&settings), tx, status));
     let h = store.clone();
