--- a/crates/control-cell/src/actor/handle.rs
+++ b/crates/control-cell/src/actor/handle.rs
@@ -98,9 +98,9 @@
 }
 
 /// Opens the disk and starts the owner.
-pub fn start(settings: &Arc<NodeSettings>) -> NodeResult<CellHandle> {
+pub fn start(settings: impl Into<SharedSettings>) -> NodeResult<CellHandle> {
     let (tx, rx) = mpsc::channel(2048);
-    let owner = Actor::open(settings.clone(), tx.clone())?;
+    let owner = Actor::open(settings.into(), tx.clone())?;
     tokio::spawn(owner.run(rx));
     Ok(CellHandle { queue: tx })
 }
--- a/crates/control-cell/src/actor/lead.rs
+++ b/crates/control-cell/src/actor/lead.rs
@@ -58,11 +58,11 @@
         if heard && known || self.ending.is_some() {
             return;
         }
-        let mut addrs: BTreeSet<String> = self
-            .settings
+        let settings = self.settings.now();
+        let mut addrs: BTreeSet<String> = settings
             .seeds
             .iter()
-            .map(|s| self.settings.inner_addr(&s.ip().to_string(), CELL_PORT))
+            .map(|s| settings.inner_addr(&s.ip().to_string(), CELL_PORT))
             .collect();
         addrs.extend(self.consensus.log.members().iter().map(|m| m.addr.clone()));
         addrs.remove(&self.me.addr);
@@ -112,7 +112,8 @@
             return self.propose(Body::Members(next), None);
         }
 
-        let zones: BTreeSet<String> = self.settings.zones.keys().cloned().collect();
+        let settings = self.settings.now();
+        let zones: BTreeSet<String> = settings.zones.keys().cloned().collect();
         let alive = |id: u64| !self.leaving.contains_key(&id) && silent(id) < HOLDER_SILENT;
         if let Some(holders) = next_holders(&self.state.holders, &zones, &members, alive) {
             return self.change(Change::PutHolders { holders });
@@ -123,8 +124,7 @@
             .values()
             .map(|(s, at)| StoreObservation { status: s.clone(), silent: now.duration_since(*at) })
             .collect();
-        if let Some(set) =
-            next_stores(&self.state.stores, &seen, calm, self.settings.tolerated.stores())
+        if let Some(set) = next_stores(&self.state.stores, &seen, calm, settings.tolerated.stores())
         {
             info!("store set {} with {} stores", set.version, set.stores.len());
             return self.change(Change::PutStores { base: self.state.stores.version, set });
--- a/crates/control-cell/src/actor/work.rs
+++ b/crates/control-cell/src/actor/work.rs
@@ -21,7 +21,7 @@
 /// Invariants: `state` is what the log says up to `consensus.applied`; `placed` holds proposals made here
 /// in this term and not yet applied; a reader is served only when its index is applied.
 pub(super) struct Actor {
-    pub settings: Arc<NodeSettings>,
+    pub settings: SharedSettings,
     pub queue: mpsc::Sender<CellCommand>,
     pub me: Member,
     /// Starts on this disk: what this cell numbers never goes back over a restart.
@@ -60,7 +60,8 @@
 }
 
 impl Actor {
-    pub fn open(settings: Arc<NodeSettings>, queue: mpsc::Sender<CellCommand>) -> NodeResult<Self> {
+    pub fn open(shared: SharedSettings, queue: mpsc::Sender<CellCommand>) -> NodeResult<Self> {
+        let settings = shared.now();
         let Some(dir) = settings.data_dir.clone() else {
             return Err(NodeError::BadSettings {
                 file: "settings".into(),
@@ -112,13 +113,11 @@
         };
         let seed = fastrand::u64(..);
         let (held, watch_held) = watch::channel(Held::new());
-        if let Some(cloud) = settings.cloud.clone() {
-            tokio::spawn(read_lists(cloud, settings.bounds.drain, watch_held, queue.clone()));
-        }
+        tokio::spawn(read_lists(shared.clone(), watch_held, queue.clone()));
         let now = Instant::now();
         Ok(Actor {
             consensus: ConsensusNode::new(id, hard, log, Tuning::default(), seed),
-            settings,
+            settings: shared,
             queue,
             me,
             lives,
--- a/crates/control-cell/src/lib.rs
+++ b/crates/control-cell/src/lib.rs
@@ -12,8 +12,9 @@
 use node_base::settings::{CELL_PORT, FEED_PORT};
 
 /// Runs a cell until it is told to end.
-pub async fn run_cell(settings: NodeSettings) -> NodeResult<()> {
-    let settings = Arc::new(settings);
+pub async fn run_cell(settings: impl Into<SharedSettings>) -> NodeResult<()> {
+    let shared: SharedSettings = settings.into();
+    let settings = shared.now();
     let bind = |addr: String| async move {
         TcpListener::bind(&addr).await.map_err(|e| NodeError::Io { what: addr, source: e })
     };
@@ -23,7 +24,7 @@
         Some(a) => Some(bind(a.to_string()).await?),
         None => None,
     };
-    let cell = actor::start(&settings)?;
+    let cell = actor::start(&shared)?;
     let h = cell.clone();
     tokio::spawn(node_base::links::serve_calls(inner, move |q: CellCall| {
         let h = h.clone();
--- a/crates/control-cell/src/listing/mod.rs
+++ b/crates/control-cell/src/listing/mod.rs
@@ -1,5 +1,5 @@
 //! Reads the platform's list for the zones this cell holds.
-mod pace;
+pub mod pace;
 
 use crate::prelude::*;
 use pace::ListPace;
@@ -9,16 +9,25 @@
 
 const WITHIN: Duration = Duration::from_millis(800);
 
+/// Reads the lists of the held zones, each round at the address that the settings name then; without
+/// one it waits for settings that do.
 pub async fn read_lists(
-    cloud: CloudSettings,
-    drain: Duration,
+    mut shared: SharedSettings,
     mut held: watch::Receiver<Held>,
     out: mpsc::Sender<CellCommand>,
 ) {
     let mut back = Backoff::new(Duration::from_millis(200), Duration::from_secs(2));
-    let mut pace = ListPace::new(drain);
+    let mut pace = ListPace::new(shared.now().bounds.drain);
     let began = Instant::now();
     loop {
+        let settings = shared.now();
+        let Some(cloud) = &settings.cloud else {
+            tokio::select! {
+                _ = shared.changed() => continue,
+                _ = out.closed() => return,
+            }
+        };
+        pace.set_drain(settings.bounds.drain);
         let now: Held = held.borrow_and_update().clone();
         let mut failed = Duration::ZERO;
         for (zone, epoch) in now {
@@ -38,6 +47,7 @@
         let pause = pace.pause(began.elapsed()).max(failed);
         tokio::select! {
             _ = tokio::time::sleep(pause) => {}
+            _ = shared.changed() => back.reset(),
             r = held.changed() => if r.is_err() { return },
         }
     }
--- a/crates/control-cell/src/listing/pace/mod.rs
+++ b/crates/control-cell/src/listing/pace/mod.rs
@@ -1,8 +1,5 @@
 //! How often the platform's list is read: its calls are priced and their rate is bounded, so calm zones
 //! are read no more often than the order of leaving engines needs, and changing ones at once again.
-#[cfg(test)]
-mod tests;
-
 use crate::prelude::*;
 
 const QUICK: Duration = Duration::from_millis(1100);
@@ -20,10 +17,15 @@
 impl ListPace {
     /// `drain`: the time from the list's showing that an engine leaves to the last send to it.
     pub fn new(drain: Duration) -> Self {
-        ListPace { calm: drain.mul_f64(0.45).clamp(QUICK, QUICK * 2), zones: BTreeMap::new() }
+        ListPace { calm: calm_pause(drain), zones: BTreeMap::new() }
+    }
+
+    /// The settings give another time to drain in.
+    pub fn set_drain(&mut self, drain: Duration) {
+        self.calm = calm_pause(drain);
     }
 
-    /// An zone's list was read.
+    /// A zone's list was read.
     pub fn read(&mut self, zone: &str, engines: &[EngineEntry], now: Duration) {
         let said = engines.iter().fold(0u64, |h, e| {
             // Any order of the same entries is the same list.
@@ -45,3 +47,7 @@
         }
     }
 }
+
+fn calm_pause(drain: Duration) -> Duration {
+    drain.mul_f64(0.45).clamp(QUICK, QUICK * 2)
+}
--- a/crates/feed-agent/src/lib.rs
+++ b/crates/feed-agent/src/lib.rs
@@ -8,14 +8,16 @@
 /// Outcomes go on as they come, about once a second; this often when none come.
 const WORD_REPEAT: Duration = Duration::from_secs(10);
 
-pub async fn run_agent(settings: NodeSettings) -> NodeResult<()> {
+/// Runs an agent until it is told to end and its proxy has gone.
+pub async fn run_agent(settings: impl Into<SharedSettings>) -> NodeResult<()> {
+    let shared: SharedSettings = settings.into();
+    let settings = shared.now();
     let addr = format!("127.0.0.1:{}", settings.internal_ports.0 + AGENT_PORT);
     let listener =
         TcpListener::bind(&addr).await.map_err(|e| NodeError::Io { what: addr, source: e })?;
     let (tx, rx) = mpsc::channel(256);
     let (word, words) = watch::channel(None);
-    let follow =
-        FollowSettings { repeat: WORD_REPEAT, ..FollowSettings::of_cells_whole(&settings) };
+    let follow = FollowSettings { repeat: WORD_REPEAT, ..FollowSettings::of_cells_whole(&shared) };
     tokio::spawn(follow_cells(follow, tx, words));
     let (open, opens) = mpsc::channel(16);
     let (told, reports) = mpsc::channel(16);
@@ -23,14 +25,13 @@
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|e| NodeError::Io { what: "SIGTERM".into(), source: e })?;
     let (leave, leaving) = watch::channel(false);
-    let grace = settings.bounds.grace;
     tokio::spawn(async move {
         term.recv().await;
         // The proxy beside it gets the same signal and finishes its answers: news keep coming until
         // it has gone.
         tokio::time::sleep(Duration::from_millis(500)).await;
         let _ = leave.send(true);
-        tokio::time::sleep(grace).await;
+        tokio::time::sleep(shared.now().bounds.grace).await;
     });
     keep::keep(Keeper::new(word), rx, opens, reports, leaving).await;
     Ok(())
--- a/crates/feed-follow/src/base/mod.rs
+++ b/crates/feed-follow/src/base/mod.rs
@@ -1,7 +1,4 @@
 //! Makes configurations that came as differences whole again.
-#[cfg(test)]
-mod tests;
-
 use crate::prelude::*;
 
 /// Invariant: `last` is the configuration the followed feed told last, by version.
--- a/crates/feed-follow/src/lib.rs
+++ b/crates/feed-follow/src/lib.rs
@@ -3,4 +3,5 @@
 pub mod link;
 pub mod prelude;
 pub mod rank;
+pub mod seeds;
 pub mod view;
--- a/crates/feed-follow/src/link/mod.rs
+++ b/crates/feed-follow/src/link/mod.rs
@@ -1,18 +1,16 @@
 //! The link to one cell at a time; on silence it moves to the next that rendezvous names.
-mod machine;
+pub mod machine;
 
 use crate::prelude::*;
 use machine::{Feed, FeedEvent, FeedState};
 use node_base::links::{connect, frame_stream, Wire};
-use node_base::settings::{CELL_PORT, FEED_PORT};
+use node_base::settings::FEED_PORT;
 
 /// A follower: who it is, and where cells were first told to be.
 pub struct FollowSettings {
     pub name: String,
-    pub seeds: Vec<String>,
+    pub seeds: Seeds,
     pub feed_port: u16,
-    /// The seeds are all there is: cells told by the feed aren't followed.
-    pub fixed: bool,
     /// The follower's own zone.
     pub zone: String,
     pub topics: Topics,
@@ -24,13 +22,12 @@
 
 impl FollowSettings {
     /// Follows the cells that the settings name, and those they tell of, for the store set only.
-    pub fn of_cells(settings: &NodeSettings) -> Self {
-        let cell = |s: &SocketAddr| settings.inner_addr(&s.ip().to_string(), CELL_PORT);
+    pub fn of_cells(shared: &SharedSettings) -> Self {
+        let settings = shared.now();
         FollowSettings {
             name: settings.node_name.clone(),
-            seeds: settings.seeds.iter().map(cell).collect(),
+            seeds: Seeds::FromSettings(shared.clone()),
             feed_port: settings.internal_ports.0 + FEED_PORT,
-            fixed: false,
             zone: settings.zone.clone(),
             topics: Topics::Stores,
             silence: Duration::from_millis(1000),
@@ -39,8 +36,8 @@
     }
 
     /// The same, for everything.
-    pub fn of_cells_whole(settings: &NodeSettings) -> Self {
-        FollowSettings { topics: Topics::All, ..FollowSettings::of_cells(settings) }
+    pub fn of_cells_whole(shared: &SharedSettings) -> Self {
+        FollowSettings { topics: Topics::All, ..FollowSettings::of_cells(shared) }
     }
 }
 
@@ -66,14 +63,16 @@
     out: mpsc::Sender<News>,
     mut status: watch::Receiver<Option<W>>,
 ) {
-    let zone = if settings.fixed { "" } else { &settings.zone };
-    let mut cells = CellRank::new(&settings.name, zone, &settings.seeds);
+    let mut seeds = settings.seeds.clone();
+    let zone = if seeds.is_fixed() { "" } else { &settings.zone };
+    let mut cells = CellRank::new(&settings.name, zone, &seeds.now());
     let began = Instant::now();
     let mut place = (0u64, 0u64);
     let mut base = PatchBase::default();
     let mut pause = Backoff::new(Duration::from_millis(40), Duration::from_millis(160));
     let mut feed = Feed.uninitialized_state_machine().init();
     while !out.is_closed() {
+        cells.use_seeds(&seeds.now());
         let Some(cell) = cells.next().cloned() else {
             return;
         };
@@ -99,8 +98,11 @@
                 return;
             }
         }
-        cells.ended();
-        tokio::time::sleep(pause.next_pause()).await;
+        cells.ended(followed);
+        tokio::select! {
+            _ = tokio::time::sleep(pause.next_pause()) => {}
+            _ = seeds.changed() => {}
+        }
     }
 }
 
@@ -165,7 +167,7 @@
                         for n in items {
                             at.place.1 = at.place.1.max(n.no);
                             match &n.item {
-                                FeedItem::Cells { index, addrs, zones } if !settings.fixed => {
+                                FeedItem::Cells { index, addrs, zones } if !settings.seeds.is_fixed() => {
                                     at.cells.learn(*index, addrs, zones);
                                 }
                                 FeedItem::Current => {
@@ -178,7 +180,7 @@
                                 continue;
                             }
                             // An agent tells its proxy whole ones.
-                            let item = match settings.fixed {
+                            let item = match settings.seeds.is_fixed() {
                                 true => Some(n.item),
                                 false => at.base.whole(n.item),
                             };
--- a/crates/feed-follow/src/rank/mod.rs
+++ b/crates/feed-follow/src/rank/mod.rs
@@ -1,15 +1,13 @@
 //! Which cell a follower links to: one of its own zone if there is any, since bytes between zones are
 //! priced, else one named by rendezvous.
-#[cfg(test)]
-mod tests;
-
 use crate::prelude::*;
 
 const LEAST_PAUSE: Duration = Duration::from_secs(5);
 const MOST_PAUSE: Duration = Duration::from_secs(80);
 
-/// Invariants: `cells` never goes back in its log index; a follower away from its own zone's cells
-/// tries them again at most once in `pause`, which doubles until it stays.
+/// Invariants: `cells` never goes back in its log index; of links that end one after the other, each cell
+/// and each seed gets one in every round; a follower away from its own zone's cells tries them again at
+/// most once in `pause`, which doubles until it stays.
 pub struct CellRank {
     key: u64,
     zone: String,
@@ -17,6 +15,8 @@
     /// Log index, and each cell's address and zone.
     cells: (u64, Vec<(String, String)>),
     turn: usize,
+    /// The link that ended last was one of use.
+    followed: bool,
     pause: Duration,
     next_home: Duration,
 }
@@ -28,8 +28,9 @@
             key: fnv64(name.as_bytes()),
             zone: zone.to_string(),
             seeds: seeds.to_vec(),
-            cells: (0, seeds.iter().map(|s| (s.clone(), String::new())).collect()),
+            cells: (0, Vec::new()),
             turn: 0,
+            followed: false,
             pause: LEAST_PAUSE,
             next_home: Duration::ZERO,
         }
@@ -49,23 +50,36 @@
         !self.zone.is_empty() && self.cells.1.iter().any(|(a, z)| a == addr && *z == self.zone)
     }
 
-    /// The cell to try now.
-    pub fn next(&self) -> Option<&String> {
-        // Where all told cells were tried in vain, the settings' seeds get a turn.
-        if self.turn % 6 == 5 {
-            return self.seeds.get(self.turn % self.seeds.len().max(1));
+    /// Takes the settings' seeds as they are now. Where no cell answers, they are tried next.
+    pub fn use_seeds(&mut self, seeds: &[String]) {
+        if self.seeds == seeds {
+            return;
         }
+        self.seeds = seeds.to_vec();
+        if !self.followed {
+            self.turn = self.cells.1.len();
+        }
+    }
+
+    fn is_told(&self, addr: &str) -> bool {
+        self.cells.1.iter().any(|(a, _)| a == addr)
+    }
+
+    /// The cell to try now: the told ones, home first, then the seeds that aren't among them.
+    pub fn next(&self) -> Option<&String> {
         let mut row: Vec<&String> = self.cells.1.iter().map(|(a, _)| a).collect();
+        row.extend(self.seeds.iter().filter(|s| !self.is_told(s)));
         let rank = rank_by_rendezvous(self.key, row.iter().map(|a| fnv64(a.as_bytes())));
         row.sort_by_key(|a| {
             let place = rank.iter().position(|h| *h == fnv64(a.as_bytes()));
-            (!self.is_home(a), place)
+            (!self.is_told(a), !self.is_home(a), place)
         });
         row.get(self.turn % row.len().max(1)).copied()
     }
 
-    /// The link to `addr` has ended.
-    pub fn ended(&mut self) {
+    /// The link to the cell that was next has ended, or didn't come about.
+    pub fn ended(&mut self, followed: bool) {
+        self.followed = followed;
         self.turn = self.turn.wrapping_add(1);
     }
 
--- a/crates/feed-follow/src/base/tests.rs
+++ b/crates/feed-follow/tests/base.rs
@@ -1,4 +1,5 @@
-use crate::prelude::*;
+//! Configurations that come as differences are made whole.
+use feed_follow::prelude::*;
 
 fn body(n: u64) -> ByteBuf {
     let routes: String = (0..20).map(|i| format!("{{\"r\":{}}},", i * (1 + n % 3))).collect();
--- a/crates/node-base/src/prelude.rs
+++ b/crates/node-base/src/prelude.rs
@@ -3,7 +3,7 @@
 pub use crate::error::{NodeError, NodeResult};
 pub use crate::links::{decode, encode, tune_stream, Caller, LinkError, LinkResult};
 pub use crate::settings::{
-    Bounds, CloudSettings, LimitSettings, ListenSettings, NodeSettings, Tolerated,
+    Bounds, CloudSettings, LimitSettings, ListenSettings, NodeSettings, SharedSettings, Tolerated,
 };
 pub use crate::util::{fnv64, rank_by_rendezvous, rendezvous_score, Backoff};
 pub use bytes::{Bytes, BytesMut};
--- a/crates/node-base/src/settings/mod.rs
+++ b/crates/node-base/src/settings/mod.rs
@@ -1,8 +1,16 @@
 //! Settings of one process: read from the file named by the platform and checked by hand.
 mod check;
+mod fields;
 mod raw;
+mod reload;
+mod watch;
 
 pub use check::{parse_settings, read_settings};
+pub use fields::{
+    compare_settings, take_at_once, FieldChange, FieldRule, TakesEffect, FIELD_RULES,
+};
+pub use reload::{FileText, Reading, Reloader};
+pub use watch::{watch_settings, SharedSettings};
 
 use crate::prelude::*;
 
--- a/crates/request-proxy/src/app/feed.rs
+++ b/crates/request-proxy/src/app/feed.rs
@@ -5,12 +5,12 @@
 
 pub fn follow_agent(app: &Arc<App>) {
     let (tx, mut rx) = mpsc::channel(256);
+    let settings = app.settings.now();
     let follow = FollowSettings {
-        name: app.settings.node_name.clone(),
-        seeds: vec!["127.0.0.1".into()],
-        feed_port: app.settings.internal_ports.0 + AGENT_PORT,
-        fixed: true,
-        zone: app.settings.zone.clone(),
+        name: settings.node_name.clone(),
+        seeds: Seeds::Fixed("127.0.0.1".into()),
+        feed_port: settings.internal_ports.0 + AGENT_PORT,
+        zone: settings.zone.clone(),
         topics: Topics::All,
         silence: Duration::from_secs(3600),
         repeat: Duration::from_secs(3600),
--- a/crates/request-proxy/src/app/mod.rs
+++ b/crates/request-proxy/src/app/mod.rs
@@ -20,7 +20,7 @@
 /// The proxy's whole state, passed down by reference. Lock order: `live`, `life`, `sched`, `tickets`,
 /// the pool's, the bank's, the trial's; none is held over a wait.
 pub struct App {
-    pub settings: NodeSettings,
+    pub settings: SharedSettings,
     pub began: Instant,
     pub live: Mutex<Option<Arc<Live>>>,
     life: Mutex<InitializedStateMachine<Life>>,
@@ -38,7 +38,8 @@
 }
 
 impl App {
-    pub fn new(settings: NodeSettings) -> Arc<Self> {
+    pub fn new(shared: SharedSettings) -> Arc<Self> {
+        let settings = shared.now();
         // A tenth of the memory is for chains that come back.
         let cache_bytes = (settings.limits.memory_mb << 20) as usize / 10;
         let tuning = SchedulerTuning { zone: settings.zone.clone(), ..SchedulerTuning::default() };
@@ -50,9 +51,9 @@
             sched: Mutex::new(Scheduler::new(tuning)),
             tickets: Mutex::new(HashMap::new()),
             pool: Pool::new(),
-            bank: Arc::new(TurnBank::new(&settings, cache_bytes)),
+            bank: Arc::new(TurnBank::new(&shared, cache_bytes)),
             trial: TrialDesk::new(&settings.node_name),
-            settings,
+            settings: shared,
         })
     }
 
--- a/crates/request-proxy/src/door/serve.rs
+++ b/crates/request-proxy/src/door/serve.rs
@@ -41,7 +41,7 @@
     mut life: watch::Receiver<LifeState>,
 ) {
     // Descriptors: one for each client here, the rest for engines, stores and the agent.
-    let most = (app.settings.limits.descriptors.saturating_sub(400) / 2).max(64) as usize;
+    let most = (app.settings.now().limits.descriptors.saturating_sub(400) / 2).max(64) as usize;
     let room = Arc::new(Semaphore::new(most));
     let mut calm = 0;
     loop {
--- a/crates/request-proxy/src/lib.rs
+++ b/crates/request-proxy/src/lib.rs
@@ -16,17 +16,22 @@
     pub serving: tokio::task::JoinHandle<()>,
 }
 
-pub async fn run_proxy(settings: NodeSettings) -> NodeResult<()> {
-    let grace = settings.bounds.grace;
-    let run = start_proxy(settings).await?;
+/// Runs a proxy until it is told to end.
+pub async fn run_proxy(settings: impl Into<SharedSettings>) -> NodeResult<()> {
+    let shared: SharedSettings = settings.into();
+    let run = start_proxy(&shared).await?;
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|e| NodeError::Io { what: "SIGTERM".into(), source: e })?;
     term.recv().await;
+    let grace = shared.now().bounds.grace;
     life::end_in_order(&run.app, run.serving, grace).await;
     Ok(())
 }
 
-pub async fn start_proxy(settings: NodeSettings) -> NodeResult<Running> {
+/// Opens the listeners and starts all tasks of a proxy.
+pub async fn start_proxy(settings: impl Into<SharedSettings>) -> NodeResult<Running> {
+    let shared: SharedSettings = settings.into();
+    let settings = shared.now();
     let need = |a: Option<SocketAddr>, field: &str| {
         a.ok_or_else(|| NodeError::BadSettings {
             file: "settings".into(),
@@ -41,7 +46,7 @@
     };
     let front = bind(front).await?;
     let readiness = bind(readiness).await?;
-    let app = App::new(settings);
+    let app = App::new(shared);
     app::follow_agent(&app);
     app::sweep_regularly(&app);
     app::report_outcomes(&app);
--- a/crates/request-proxy/src/prelude.rs
+++ b/crates/request-proxy/src/prelude.rs
@@ -12,7 +12,9 @@
     Call, CallPoint, ClaimDecision, ClaimTally, Epoch, Evidence, Hold, NewAttempt, Pinned,
     RecoverDecision, RecoverTally,
 };
-pub use feed_follow::prelude::{follow_cells, FeedItem, FeedView, FollowSettings, News, Topics};
+pub use feed_follow::prelude::{
+    follow_cells, FeedItem, FeedView, FollowSettings, News, Seeds, Topics,
+};
 pub use http::request::Parts as RequestParts;
 pub use http::{HeaderMap, HeaderValue};
 pub use inner_protocol::prelude::*;
--- a/crates/request-proxy/src/turns/bank.rs
+++ b/crates/request-proxy/src/turns/bank.rs
@@ -14,7 +14,7 @@
     node: u64,
     /// This life of the node: greater than that of every life before it.
     incarnation: AtomicU64,
-    limits: Limits,
+    settings: SharedSettings,
     began: Instant,
     /// Leases held here, and whose attempts they are.
     hold: Mutex<(Hold, HashMap<u64, String>)>,
@@ -126,13 +126,14 @@
 
 impl TurnBank {
     /// `cache_bytes` bounds the chains that are kept here.
-    pub fn new(settings: &NodeSettings, cache_bytes: usize) -> Self {
+    pub fn new(shared: &SharedSettings, cache_bytes: usize) -> Self {
+        let settings = shared.now();
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         TurnBank {
             zone: settings.zone.clone(),
             node: fnv64(settings.node_name.as_bytes()),
             incarnation: AtomicU64::new(unix.map_or(1, |d| d.as_millis() as u64)),
-            limits: settings.dispatcher,
+            settings: shared.clone(),
             began: Instant::now(),
             hold: Mutex::new((Hold::default(), HashMap::new())),
             set: Mutex::new(Arc::new(StoreSet::default())),
@@ -141,6 +142,11 @@
         }
     }
 
+    /// The lease never changes while a process runs; the slots may.
+    fn limits(&self) -> Limits {
+        self.settings.now().dispatcher
+    }
+
     pub fn learn(&self, set: StoreSet) {
         let mut cur = locked(&self.set);
         if set.version > cur.version {
@@ -232,7 +238,7 @@
         let claim = claiming.granted();
         if let Some(c) = &claim {
             let mut held = locked(&self.hold);
-            held.0.add(c.req, c.epoch, self.limits.lease, sent);
+            held.0.add(c.req, c.epoch, self.limits().lease, sent);
             held.1.insert(c.req, c.program.clone());
         }
         Ok(Opened { claim, ..o })
@@ -248,7 +254,7 @@
         let row = self.row(set, ask.program);
         let quorum = set.quorum();
         let claim =
-            attempt.map(|a| LedgerWrite::Claim { attempt: a.clone(), lease: self.limits.lease });
+            attempt.map(|a| LedgerWrite::Claim { attempt: a.clone(), lease: self.limits().lease });
         let call = |i: usize, e: &StoreEntry, previous: Option<&str>| {
             let q = encode(&StoreCall::Open(OpenCall {
                 version: set.version,
@@ -275,7 +281,7 @@
         let mut elsewhere = None;
         let mut ledger = OpenLedger::new(row.len(), quorum, previous.is_some());
         let line = ask.claim.as_ref().map_or(0, |c| c.line);
-        let mut tally = ClaimTally::new(quorum, ask.req, line, self.limits);
+        let mut tally = ClaimTally::new(quorum, ask.req, line, self.limits());
         loop {
             let others: Vec<u64> = heard.iter().chain(&ids).copied().collect();
             match ledger.step(&others) {
--- a/crates/spokebank/src/commands/mod.rs
+++ b/crates/spokebank/src/commands/mod.rs
@@ -72,18 +72,20 @@
 const SETTINGS_FILE_VARIABLE: &str = "SPOKEBANK_NODE_FILE";
 const DEFAULT_SETTINGS_FILE: &str = "/etc/spokebank/settings.toml";
 
+fn settings_file() -> String {
+    std::env::var(SETTINGS_FILE_VARIABLE).unwrap_or_else(|_| DEFAULT_SETTINGS_FILE.into())
+}
+
 fn node_settings() -> NodeResult<NodeSettings> {
-    read_settings(
-        &std::env::var(SETTINGS_FILE_VARIABLE).unwrap_or_else(|_| DEFAULT_SETTINGS_FILE.into()),
-    )
+    read_settings(&settings_file())
 }
 
 pub fn run(args: &Spokebank) -> NodeResult<i32> {
     match &args.command {
-        Command::Proxy(_) => serve(request_proxy::run_proxy(node_settings()?)),
-        Command::Agent(_) => serve(feed_agent::run_agent(node_settings()?)),
-        Command::Cell(_) => serve(control_cell::run_cell(node_settings()?)),
-        Command::Store(_) => serve(turn_store::run_store(node_settings()?)),
+        Command::Proxy(_) => serve(request_proxy::run_proxy),
+        Command::Agent(_) => serve(feed_agent::run_agent),
+        Command::Cell(_) => serve(control_cell::run_cell),
+        Command::Store(_) => serve(turn_store::run_store),
         Command::Doctor(d) => {
             let settings = match &d.settings_file {
                 Some(f) => read_settings(f)?,
@@ -96,8 +98,12 @@
     }
 }
 
-fn serve(f: impl Future<Output = NodeResult<()>>) -> NodeResult<i32> {
-    block_on(f).map(|()| 0)
+/// Runs a program on settings that follow their file. The file is watched, and SIGHUP handled, before
+/// the program's own start begins.
+fn serve<F: Future<Output = NodeResult<()>>>(
+    program: impl FnOnce(SharedSettings) -> F,
+) -> NodeResult<i32> {
+    block_on(async { program(watch_settings(&settings_file())?).await }).map(|()| 0)
 }
 
 fn block_on<T>(f: impl Future<Output = NodeResult<T>>) -> NodeResult<T> {
--- a/crates/spokebank/src/prelude.rs
+++ b/crates/spokebank/src/prelude.rs
@@ -2,5 +2,5 @@
 pub use crate::commands::Spokebank;
 pub use argh::FromArgs;
 pub use node_base::prelude::*;
-pub use node_base::settings::read_settings;
+pub use node_base::settings::{read_settings, watch_settings};
 pub use operator_config::prelude::check_config;
--- a/crates/turn-store/src/lib.rs
+++ b/crates/turn-store/src/lib.rs
@@ -7,13 +7,16 @@
 use crate::prelude::*;
 use node_base::settings::STORE_PORT;
 
-pub async fn run_store(settings: NodeSettings) -> NodeResult<()> {
+/// Runs a store until it is told to end.
+pub async fn run_store(settings: impl Into<SharedSettings>) -> NodeResult<()> {
+    let shared: SharedSettings = settings.into();
+    let settings = shared.now();
     let addr = settings.own_addr(STORE_PORT);
     let listener =
         TcpListener::bind(&addr).await.map_err(|e| NodeError::Io { what: addr, source: e })?;
     let (store, status) = actor::start(&settings)?;
     let (tx, mut rx) = mpsc::channel(64);
-    tokio::spawn(follow_cells(FollowSettings::of_cells(&settings), tx, status));
+    tokio::spawn(follow_cells(FollowSettings::of_cells(&shared), tx, status));
     let h = store.clone();
     tokio::spawn(async move {
         while let Some(n) = rx.recv().await {
