--- /dev/null
+++ b/crates/control-cell/src/actor/driver.rs
@@ -0,0 +1,166 @@
+//! Drives the consensus node: what it wants saved is on disk before anything that follows is said.
+use crate::prelude::*;
+use node_base::settings::CELL_PORT;
+
+/// Entries above the snapshot before the next one is made.
+const SNAPSHOT_EVERY: u64 = 256;
+const IDENTITY: &str = "identity";
+
+/// Invariant: what `handle` returns rests only on what the disk holds already.
+pub(super) struct ConsensusDriver {
+    pub me: Member,
+    pub node: ConsensusNode,
+    disk: AgreementDisk,
+    began: Instant,
+}
+
+/// What a cell finds on its disk when it starts.
+pub(super) struct OpenedCell {
+    pub driver: ConsensusDriver,
+    pub state: CellState,
+    /// Starts on this disk, this one included.
+    pub lives: u64,
+}
+
+/// Who a cell is, as long as its disk lasts, and how often it was started.
+struct Identity {
+    id: u64,
+    lives: u64,
+}
+
+fn id_of_founder(addr: &str) -> u64 {
+    fnv64(addr.as_bytes()) | 1 << 63
+}
+
+fn founder(addr: &str) -> Member {
+    Member {
+        id: id_of_founder(addr),
+        name: String::new(),
+        addr: addr.to_string(),
+        zone: String::new(),
+    }
+}
+
+fn read_identity(dir: &Path) -> NodeResult<Option<Identity>> {
+    let bytes = load_snapshot(dir, IDENTITY)?;
+    let read = bytes.and_then(|b| decode::<(u64, u64)>(&b));
+    Ok(read.map(|(id, lives)| Identity { id, lives: lives + 1 }))
+}
+
+impl ConsensusDriver {
+    pub fn open(settings: &NodeSettings) -> NodeResult<OpenedCell> {
+        let Some(dir) = settings.data_dir.clone() else {
+            return Err(NodeError::BadSettings {
+                file: "settings".into(),
+                field: "dataDirectory".into(),
+                reason: "is missing; a cell needs a disk".into(),
+            });
+        };
+        let own = settings.own_addr(CELL_PORT);
+        let (mut disk, hard, mut log) = AgreementDisk::open(&dir.join("agreement"))?;
+        // The identity lasts as long as the disk: a cell that finds none is a new member.
+        let founders: Vec<String> = settings
+            .seeds
+            .iter()
+            .map(|s| settings.inner_addr(&s.ip().to_string(), CELL_PORT))
+            .collect();
+        let identity = match read_identity(&dir)? {
+            Some(i) => i,
+            None if settings.first_start && founders.contains(&own) => {
+                log.snap.members = founders.iter().map(|a| founder(a)).collect();
+                log.snap.members.dedup();
+                disk.save_snapshot(hard, &log)?;
+                Identity { id: id_of_founder(&own), lives: 1 }
+            }
+            None => Identity { id: fastrand::u64(1..1 << 62), lives: 1 },
+        };
+        let Identity { id, lives } = identity;
+        save_snapshot(&dir, IDENTITY, &encode(&(id, lives)))?;
+        let me =
+            Member { id, name: settings.node_name.clone(), addr: own, zone: settings.zone.clone() };
+        let state = read_state(&dir, &log.snap)?;
+        let seed = fastrand::u64(..);
+        let node = ConsensusNode::new(id, hard, log, Tuning::default(), seed);
+        let driver = ConsensusDriver { me, node, disk, began: Instant::now() };
+        Ok(OpenedCell { driver, state, lives })
+    }
+
+    /// Handles an event and saves what must be saved; the effects left are to be carried out in order.
+    pub fn handle(&mut self, ev: Event) -> NodeResult<Vec<Effect>> {
+        let effects = self.node.handle(ev, self.began.elapsed());
+        self.save(&effects)?;
+        Ok(effects)
+    }
+
+    fn save(&mut self, effects: &[Effect]) -> NodeResult<()> {
+        let mut dirty = false;
+        for e in effects {
+            match e {
+                Effect::SaveHardState(h) => {
+                    self.disk.save_hard_state(*h);
+                    dirty = true;
+                }
+                Effect::SaveEntries { from, entries } => {
+                    self.disk.save_entries(*from, entries);
+                    dirty = true;
+                }
+                Effect::SaveSnapshot(_) => {
+                    self.disk.save_snapshot(self.node.hard, &self.node.log)?;
+                    dirty = false;
+                }
+                _ => {}
+            }
+        }
+        match dirty {
+            true => self.disk.sync(),
+            false => Ok(()),
+        }
+    }
+
+    pub fn wants_snapshot(&self, applied: u64) -> bool {
+        applied - self.node.log.snap.index >= SNAPSHOT_EVERY || self.disk.wants_snapshot()
+    }
+
+    pub fn elapsed(&self) -> Duration {
+        self.began.elapsed()
+    }
+
+    /// When the node wants its next tick.
+    pub fn next_tick(&self) -> Instant {
+        self.began + self.node.next_tick()
+    }
+
+    /// How long ago a moment of this process was, on the node's clock.
+    pub fn on_clock(&self, at: Instant) -> Duration {
+        at.duration_since(self.began)
+    }
+
+    /// Whether the last contact with a majority is less than `within` ago.
+    pub fn contact_within(&self, within: Duration) -> bool {
+        self.node.last_contact().is_some_and(|t| self.began.elapsed() < t + within)
+    }
+
+    pub fn leads(&self) -> bool {
+        self.node.leads()
+    }
+
+    pub fn members(&self) -> &[Member] {
+        self.node.log.members()
+    }
+
+    pub fn member_addr(&self, id: u64) -> Option<String> {
+        self.members().iter().find(|m| m.id == id).map(|m| m.addr.clone())
+    }
+}
+
+fn read_state(dir: &Path, snap: &Snapshot) -> NodeResult<CellState> {
+    if snap.data.is_empty() {
+        return Ok(CellState::default());
+    }
+    // Another version's state is not dropped for an empty one.
+    decode(&snap.data).ok_or_else(|| NodeError::Damaged {
+        file: dir.join("agreement/snapshot").display().to_string(),
+        offset: 0,
+        reason: "the agreed state can't be read: damaged, or of another version".into(),
+    })
+}
--- /dev/null
+++ b/crates/control-cell/src/actor/duties.rs
@@ -0,0 +1,128 @@
+//! The cell's regular duties, and the leader's.
+use super::run::Actor;
+use super::trial::running_trial;
+use crate::prelude::*;
+use node_base::settings::CELL_PORT;
+
+/// A holder that hasn't answered for this long gives its zones to another: the platform's list must be
+/// read well within the time in which leaving engines are to be left alone.
+const HOLDER_SILENT: Duration = Duration::from_millis(600);
+/// A feed is vouched for while the last contact with a majority is less than this ago.
+const FEED_CONTACT: Duration = Duration::from_millis(700);
+/// A member that heard a leader within this doesn't ask to be taken in.
+const JOIN_CONTACT: Duration = Duration::from_millis(1500);
+
+impl Actor {
+    pub fn duties(&mut self, now: Instant) -> bool {
+        self.feed.beat(now, self.driver.contact_within(FEED_CONTACT));
+        for t in self.zones.due(now, &self.state, self.driver.me.id) {
+            self.tell_table(&t);
+        }
+        if !self.driver.leads() {
+            self.ask_to_join(now);
+            self.tell_leader_all(now);
+            return true;
+        }
+        if self.driver.node.commit < self.driver.node.log.last() {
+            // One thing at a time: what was proposed last isn't agreed on yet.
+            return true;
+        }
+        self.members.forget_old(now);
+        self.lead_duties(now)
+    }
+
+    /// A cell that is no member, or hears no leader, asks to be taken in.
+    fn ask_to_join(&mut self, now: Instant) {
+        if !self.members.join_due(now) {
+            return;
+        }
+        let heard = self.driver.contact_within(JOIN_CONTACT);
+        let known = self.driver.members().contains(&self.driver.me);
+        if heard && known || self.ending.is_some() {
+            return;
+        }
+        let mut addrs: BTreeSet<String> = self
+            .settings
+            .seeds
+            .iter()
+            .map(|s| self.settings.inner_addr(&s.ip().to_string(), CELL_PORT))
+            .collect();
+        addrs.extend(self.driver.members().iter().map(|m| m.addr.clone()));
+        addrs.remove(&self.driver.me.addr);
+        for a in addrs {
+            let call = CellCall::Join { member: self.driver.me.clone() };
+            self.links.caller(&a).tell(&call);
+        }
+    }
+
+    fn lead_duties(&mut self, now: Instant) -> bool {
+        if let Some(end) = self.trial.judge(&self.state) {
+            return self.change(&end, None);
+        }
+        if let Some(next) = self.members.next(&self.driver, now) {
+            return self.propose(Body::Members(next), None);
+        }
+        if let Some(holders) = self.due_holders(now) {
+            return self.change(&Change::PutHolders { holders }, None);
+        }
+        let calm = self.members.led_for(now);
+        let tolerated = self.settings.tolerated.stores();
+        if let Some(set) = self.stores.next(&self.state.stores, now, calm, tolerated) {
+            info!("store set {} with {} stores", set.version, set.stores.len());
+            let change = Change::PutStores { base: self.state.stores.version, set };
+            return self.change(&change, None);
+        }
+        true
+    }
+
+    fn due_holders(&self, now: Instant) -> Option<BTreeMap<String, u64>> {
+        let zones: BTreeSet<String> = self.settings.zones.keys().cloned().collect();
+        let alive = |id: u64| {
+            !self.members.is_leaving(id)
+                && self.members.silent(id, &self.driver, now) < HOLDER_SILENT
+        };
+        next_holders(&self.state.holders, &zones, self.driver.members(), alive)
+    }
+
+    /// A store's word about itself goes to the leader.
+    pub fn announced(&mut self, status: StoreStatus) {
+        if self.driver.leads() {
+            self.stores.announced(status);
+        } else if let Some(l) = self.leader_addr() {
+            self.links.caller(&l).tell(&CellCall::Announce { status });
+        }
+    }
+
+    /// Reports of nodes that follow this cell: they go to the leader, or from it to another cell.
+    pub fn took_outcomes(&mut self, reports: Vec<NodeReport>) {
+        let reports = self.trial.keep(&self.state, reports);
+        if reports.is_empty() {
+            return;
+        }
+        let to = match self.driver.leads() {
+            true => self.heard_last(),
+            false => self.leader_addr(),
+        };
+        if let Some(a) = to {
+            self.links.caller(&a).tell(&CellCall::Outcomes { reports });
+        }
+    }
+
+    /// The other member that the leader heard last.
+    fn heard_last(&self) -> Option<String> {
+        let others = self.driver.members().iter().filter(|m| m.id != self.driver.me.id);
+        others.max_by_key(|m| self.driver.node.last_contact_with(m.id)).map(|m| m.addr.clone())
+    }
+
+    fn tell_leader_all(&mut self, now: Instant) {
+        let (Some(_), Some(id)) = (running_trial(&self.state), self.driver.node.leader) else {
+            return;
+        };
+        let Some(l) = self.leader_addr() else {
+            return;
+        };
+        for reports in self.trial.due_to(id, now) {
+            self.links.caller(&l).tell(&CellCall::Outcomes { reports });
+        }
+    }
+}
--- a/crates/control-cell/src/actor/handle.rs
+++ b/crates/control-cell/src/actor/handle.rs
@@ -1,10 +1,7 @@
 //! The handle that the cell's tasks use, and the commands behind it.
-use super::work::Actor;
+use super::feed::FeedReceiver;
 use crate::prelude::*;
 
-/// Encoded `FeedMsg::Items`.
-pub type FeedReceiver = mpsc::Receiver<Bytes>;
-
 pub enum CellCommand {
     Call(CellCall, oneshot::Sender<CellReply>),
     Tell(CellCall),
@@ -96,11 +93,3 @@
         }
     }
 }
-
-/// Opens the disk and starts the owner.
-pub fn start(settings: &Arc<NodeSettings>) -> NodeResult<CellHandle> {
-    let (tx, rx) = mpsc::channel(2048);
-    let owner = Actor::open(settings.clone(), tx.clone())?;
-    tokio::spawn(owner.run(rx));
-    Ok(CellHandle { queue: tx })
-}
--- a/crates/control-cell/src/actor/mod.rs
+++ b/crates/control-cell/src/actor/mod.rs
@@ -1,10 +1,32 @@
-//! The one owner of a cell's tables, which works through a queue of commands.
-mod consensus;
+//! The one owner of a cell's tables, which works through a queue of commands. `run` composes the parts;
+//! no part knows the actor.
+mod calls;
+mod carry;
+mod driver;
+mod duties;
 mod feed;
 mod handle;
-mod lead;
+mod items;
+mod links;
+mod membership;
+mod pending;
+mod publish;
+mod run;
+mod stores;
+mod told;
 mod trial;
-mod work;
+mod zones;
 
 pub use feed::Wants;
-pub use handle::{start, CellCommand, CellHandle};
+pub use handle::{CellCommand, CellHandle};
+
+use crate::prelude::*;
+use run::Actor;
+
+/// Opens the disk and starts the actor.
+pub fn start(settings: &Arc<NodeSettings>) -> NodeResult<CellHandle> {
+    let (tx, rx) = mpsc::channel(2048);
+    let actor = Actor::open(settings.clone(), tx.clone())?;
+    tokio::spawn(actor.run(rx));
+    Ok(CellHandle { queue: tx })
+}
--- /dev/null
+++ b/crates/control-cell/src/actor/publish.rs
@@ -0,0 +1,76 @@
+//! Publishes the agreed state and the zones' tables on the feed.
+use super::feed::FeedReceiver;
+use super::items::{cells_item, config_item, stores_item, trial_item};
+use super::run::Actor;
+use crate::prelude::*;
+
+impl Actor {
+    pub fn publish_state(&mut self) {
+        self.publish_config();
+        self.publish_stores();
+        self.publish_cells(self.driver.node.log.members_index());
+        self.publish_trial();
+        self.hold_zones();
+    }
+
+    pub fn publish_config(&mut self) {
+        if let Some(c) = &self.state.config {
+            self.feed.publish_config(c);
+        }
+    }
+
+    pub fn publish_stores(&mut self) {
+        if let Some(item) = stores_item(&self.state) {
+            self.feed.publish(item);
+        }
+    }
+
+    pub fn publish_cells(&mut self, index: u64) {
+        self.feed.publish(cells_item(index, self.driver.members()));
+    }
+
+    pub fn publish_trial(&mut self) {
+        if let Some(item) = trial_item(&self.state) {
+            self.trial.follow(&self.state);
+            self.feed.publish(item);
+        }
+    }
+
+    pub fn hold_zones(&mut self) {
+        self.zones.hold(&self.state, self.driver.me.id);
+    }
+
+    pub fn open_feed(&mut self, feed: u64, no: u64, wants: Wants) -> (FeedReceiver, u64) {
+        let Actor { state, driver, zones, .. } = self;
+        self.feed.open(feed, no, wants, || {
+            let mut whole: Vec<FeedItem> = Vec::new();
+            whole.extend(config_item(state));
+            whole.extend(stores_item(state));
+            whole.push(cells_item(driver.node.log.members_index(), driver.members()));
+            whole.extend(trial_item(state));
+            whole.extend(zones.tables().cloned().map(FeedItem::Zone));
+            whole
+        })
+    }
+
+    pub fn listed(&mut self, zone: String, epoch: u64, engines: Vec<EngineEntry>) {
+        if let Some(table) = self.zones.listed(zone, epoch, engines) {
+            self.take_table(table.clone());
+            self.tell_table(&table);
+        }
+    }
+
+    pub fn take_table(&mut self, table: ZoneTable) {
+        if self.zones.take(&table) {
+            self.feed.publish(FeedItem::Zone(table));
+        }
+    }
+
+    pub fn tell_table(&mut self, table: &ZoneTable) {
+        for m in self.driver.members() {
+            if m.addr != self.driver.me.addr {
+                self.links.caller(&m.addr).tell(&CellCall::Table { table: table.clone() });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-cell/src/actor/told.rs
@@ -0,0 +1,40 @@
+//! What a cell tells of itself to those who look after it.
+use super::run::Actor;
+use crate::prelude::*;
+
+impl Actor {
+    pub fn told(&self) -> CellTold {
+        let node = &self.driver.node;
+        let members = self.driver.members();
+        let name = |id: &u64| {
+            let m = members.iter().find(|m| m.id == *id);
+            m.map(|m| if m.name.is_empty() { m.addr.clone() } else { m.name.clone() })
+        };
+        CellTold {
+            name: self.driver.me.name.clone(),
+            term: node.hard.term,
+            leader: node.leader.as_ref().and_then(name),
+            cells: members.iter().map(|m| m.addr.clone()).collect(),
+            unix_ms: std::time::SystemTime::now()
+                .duration_since(std::time::UNIX_EPOCH)
+                .map_or(0, |d| d.as_millis() as u64),
+            commit: node.commit,
+            applied: node.applied,
+            config_version: self.state.config_version(),
+            members: members.iter().filter_map(|m| name(&m.id)).collect(),
+            stores: self
+                .state
+                .stores
+                .stores
+                .iter()
+                .map(|s| (s.name.clone(), format!("{:?}", s.state), s.addr.clone()))
+                .collect(),
+            zones: self
+                .state
+                .holders
+                .iter()
+                .map(|(a, id)| (a.clone(), name(id), self.zones.engine_count(a)))
+                .collect(),
+        }
+    }
+}
