--- a/crates/control-cell/src/actor/calls.rs
+++ b/crates/control-cell/src/actor/calls.rs
@@ -1,68 +1,72 @@
 //! Calls of other cells and of the operator's tasks.
-use super::run::{Actor, Reader};
-use super::stores::{retire_step, RetireStep};
-use super::trial::TrialStep;
+use super::carry::within_call;
+use super::run::{Actor, Order, Reader};
 use crate::prelude::*;
 
-const FORWARD_WITHIN: Duration = Duration::from_millis(2000);
-
-type Reply = oneshot::Sender<CellReply>;
-
 impl Actor {
-    pub fn called(&mut self, call: CellCall, reply: Reply) -> bool {
+    pub fn called(&mut self, call: CellCall, waiting: Waiting<CellReply>) -> bool {
+        if waiting.is_gone() {
+            return true;
+        }
         let leads = self.driver.leads();
         match call {
-            CellCall::Propose { change } if leads => return self.change(&change, Some(reply)),
-            CellCall::Confirm if leads => return self.confirm_for(Reader::Index(reply)),
+            CellCall::Propose { change } if leads => {
+                return self.change(&change, Some(Order::Plain(waiting)));
+            }
+            CellCall::Confirm if leads => return self.confirm_for(Reader::Index(waiting)),
             CellCall::Retire { store, ask_only } if leads => {
-                return self.retire(&store, ask_only, reply);
+                return self.confirm_for(Reader::Retire { store, ask_only, waiting });
+            }
+            CellCall::Trial { ask } if leads => {
+                return self.confirm_for(Reader::Trial { ask, waiting });
             }
-            CellCall::Trial { ask } if leads => return self.asked_of_trial(ask, reply),
             CellCall::Join { member } if leads => {
                 if !self.driver.members().contains(&member) {
                     self.members.joins(member);
                 }
-                let _ = reply.send(CellReply::Done);
+                waiting.answer(CellReply::Done);
             }
             CellCall::Announce { status } if leads => {
                 self.stores.announced(status);
-                let _ = reply.send(CellReply::Done);
+                waiting.answer(CellReply::Done);
             }
             CellCall::Propose { .. }
             | CellCall::Retire { .. }
             | CellCall::Trial { .. }
-            | CellCall::Join { .. } => self.forward(call, reply),
-            CellCall::Confirm | CellCall::Announce { .. } => {
-                let _ = reply.send(CellReply::Unable);
+            | CellCall::Join { .. } => self.forward(call, waiting),
+            CellCall::Confirm | CellCall::Announce { .. } | CellCall::Within { .. } => {
+                waiting.answer(CellReply::Unable);
             }
             CellCall::Leave { id } => {
                 self.members.leaves(id);
-                let _ = reply.send(CellReply::Done);
-            }
-            CellCall::Tell => {
-                let _ = reply.send(CellReply::Told(self.told()));
+                waiting.answer(CellReply::Done);
             }
+            CellCall::Tell => waiting.answer(CellReply::Told(self.told())),
             CellCall::Outcomes { reports } => {
-                self.trial.keep(&self.state, reports);
-                let _ = reply.send(CellReply::Done);
-            }
-            CellCall::Agree { .. } | CellCall::Table { .. } => {
-                let _ = reply.send(CellReply::Done);
+                self.trial.keep(self.desk.state(), reports);
+                waiting.answer(CellReply::Done);
             }
+            CellCall::Agree { .. } | CellCall::Table { .. } => waiting.answer(CellReply::Done),
         }
         true
     }
 
-    /// Hands a call to the leader.
-    fn forward(&mut self, call: CellCall, reply: Reply) {
+    /// Hands a call to the leader, for as long as its caller waits.
+    fn forward(&mut self, call: CellCall, mut waiting: Waiting<CellReply>) {
         let Some(addr) = self.leader_addr() else {
-            let _ = reply.send(CellReply::Unable);
+            waiting.answer(CellReply::Unable);
             return;
         };
         let c = self.links.caller(&addr);
         tokio::spawn(async move {
-            let r = c.call::<_, CellReply>(&call, FORWARD_WITHIN).await;
-            let _ = reply.send(r.unwrap_or(CellReply::Unable));
+            let within = waiting.remaining();
+            let call = within_call(within, call);
+            tokio::select! {
+                r = c.call::<_, CellReply>(&call, within) => {
+                    waiting.answer(r.unwrap_or(CellReply::Unable));
+                }
+                _ = waiting.gone() => {}
+            }
         });
     }
 
@@ -70,36 +74,4 @@
         let id = self.driver.node.leader.filter(|id| *id != self.driver.me.id)?;
         self.driver.member_addr(id).or_else(|| self.links.addr_of(id))
     }
-
-    fn retire(&mut self, store: &str, ask_only: bool, reply: Reply) -> bool {
-        match retire_step(&self.state.stores, store, ask_only) {
-            RetireStep::Answer(state) => {
-                let _ = reply.send(CellReply::Retire(state));
-                true
-            }
-            RetireStep::Propose(change) => {
-                let (tx, rx) = oneshot::channel();
-                tokio::spawn(async move {
-                    let ans = match rx.await {
-                        Ok(CellReply::Outcome(Outcome::Taken)) => {
-                            CellReply::Retire(RetireState::Running)
-                        }
-                        _ => CellReply::Unable,
-                    };
-                    let _ = reply.send(ans);
-                });
-                self.change(&change, Some(tx))
-            }
-        }
-    }
-
-    fn asked_of_trial(&mut self, ask: TrialAsk, reply: Reply) -> bool {
-        match self.trial.step(&self.state, ask) {
-            TrialStep::Answer(answer) => {
-                let _ = reply.send(answer);
-                true
-            }
-            TrialStep::Propose(change) => self.change(&change, Some(reply)),
-        }
-    }
 }
--- a/crates/control-cell/src/actor/carry.rs
+++ b/crates/control-cell/src/actor/carry.rs
@@ -1,46 +1,60 @@
 //! Carries out what the agreement decides, after it was saved.
-use super::pending::ConfirmedRead;
-use super::run::{Actor, Reader};
+use super::handle::OpenedFeed;
+use super::run::{Actor, Order, Reader};
+use super::stores::{retire_step, RetireStep};
+use super::trial::TrialStep;
 use crate::prelude::*;
 
+type Settled = DeskEvent<Order, Reader>;
+
 impl Actor {
-    /// False when the disk failed.
+    /// Hands an event to the agreement and carries out what follows. What is asked of the agreement
+    /// meanwhile comes after, so that entries are applied in their order. False when the disk failed or
+    /// what was agreed on can't be read: then nothing may be answered any more.
     pub fn agree_on(&mut self, ev: Event) -> bool {
-        let effects = match self.driver.handle(ev) {
-            Ok(effects) => effects,
-            Err(e) => {
+        self.due.push_back(ev);
+        if self.carrying {
+            return true;
+        }
+        self.carrying = true;
+        while let Some(ev) = self.due.pop_front() {
+            if let Err(e) = self.carry(ev) {
                 spdlog::error!("{}", e);
                 return false;
             }
-        };
+        }
+        self.carrying = false;
+        true
+    }
+
+    fn carry(&mut self, ev: Event) -> NodeResult<()> {
+        let effects = self.driver.handle(ev)?;
         if let Some(l) = self.driver.node.leader.filter(|_| !self.driver.leads()) {
             self.members.follows(l);
         }
-        effects.into_iter().all(|e| self.carry_out(e))
+        for effect in effects {
+            self.carry_out(effect)?;
+        }
+        if self.driver.wants_snapshot(self.desk.applied()) {
+            let data = encode_bytes(self.desk.state());
+            self.due.push_back(Event::Compact { index: self.desk.applied(), data });
+        }
+        Ok(())
     }
 
-    fn carry_out(&mut self, effect: Effect) -> bool {
+    fn carry_out(&mut self, effect: Effect) -> NodeResult<()> {
         match effect {
             Effect::Send { to, msg } => self.send(to, msg),
-            Effect::Apply(entry) => return self.apply(entry),
-            Effect::Restore(snap) => return self.restore(&snap),
-            Effect::Appended { token, at } => {
-                if let Some(r) = self.orders.appended(token, at) {
-                    let _ = r.send(CellReply::Unable);
-                }
-            }
-            Effect::Confirmed { token, index } => {
-                if let Some(r) = self.reads.take(token) {
-                    self.confirmed(r, index);
-                }
-            }
             Effect::RoleIs(role) => {
                 info!("role {:?} in term {}", role, self.driver.node.hard.term);
                 self.role_changed();
             }
-            Effect::SaveHardState(_) | Effect::SaveEntries { .. } | Effect::SaveSnapshot(_) => {}
+            other => {
+                let events = self.desk.take(other).map_err(|e| unreadable(&e))?;
+                events.into_iter().for_each(|e| self.settle(e));
+            }
         }
-        true
+        Ok(())
     }
 
     fn role_changed(&mut self) {
@@ -50,9 +64,8 @@
             self.next_duty = Instant::now();
             return;
         }
-        for r in self.orders.give_up() {
-            let _ = r.send(CellReply::Unable);
-        }
+        let events = self.desk.stepped_down();
+        events.into_iter().for_each(|e| self.settle(e));
     }
 
     fn send(&mut self, to: u64, msg: Msg) {
@@ -65,85 +78,50 @@
         self.links.caller(&addr).tell(&call);
     }
 
-    pub fn propose(&mut self, body: Body, reply: Option<oneshot::Sender<CellReply>>) -> bool {
-        let token = self.orders.begin(reply);
+    pub fn propose(&mut self, body: Body, order: Option<Order>) -> bool {
+        let token = self.desk.order(order);
         self.agree_on(Event::Propose { token, body })
     }
 
-    /// Proposes a change of the agreed state.
-    pub fn change(&mut self, change: &Change, reply: Option<oneshot::Sender<CellReply>>) -> bool {
-        let body = Body::Command(ByteBuf::from(encode(change).to_vec()));
-        self.propose(body, reply)
-    }
-
-    fn restore(&mut self, snap: &Snapshot) -> bool {
-        let Some(state) = decode(&snap.data) else {
-            spdlog::error!("the leader's snapshot can't be read: another version?");
-            return false;
-        };
-        self.state = state;
-        self.publish_state();
-        true
-    }
-
-    fn apply(&mut self, entry: Entry) -> bool {
-        let Entry { index, term, body } = entry;
-        let outcome = match body {
-            Body::Command(b) => decode::<Change>(&b).map(|c| self.apply_change(index, c)),
-            Body::Members(_) => {
-                self.publish_cells(index);
-                None
-            }
-            Body::Noop => None,
-        };
-        if let Some(settled) = self.orders.applied(index, term) {
-            let ans = match outcome {
-                Some(o) if settled.own => CellReply::Outcome(o),
-                _ => CellReply::Unable,
-            };
-            let _ = settled.reply.send(ans);
-        }
-        for read in self.reads.ready(index) {
-            self.serve_reader(ConfirmedRead { index, reader: read.reader });
-        }
-        if !self.driver.wants_snapshot(index) {
+    /// Proposes a change of the agreed state, unless whoever ordered it is gone.
+    pub fn change(&mut self, change: &Change, order: Option<Order>) -> bool {
+        if order.as_ref().is_some_and(Order::is_gone) {
             return true;
         }
-        let data = ByteBuf::from(encode(&self.state).to_vec());
-        self.agree_on(Event::Compact { index, data })
+        self.propose(Body::Command(encode_bytes(change)), order)
     }
 
-    fn apply_change(&mut self, index: u64, change: Change) -> Outcome {
-        let publish = match &change {
-            Change::PutConfig { .. } => Actor::publish_config,
-            Change::PutStores { .. } => Actor::publish_stores,
-            Change::PutTrial { .. } => Actor::publish_trial,
-            Change::PutHolders { .. } => Actor::hold_zones,
-        };
-        let outcome = self.state.apply(index, change);
-        if outcome == Outcome::Taken {
-            publish(self);
+    pub(super) fn settle(&mut self, event: Settled) {
+        match event {
+            DeskEvent::Order { waiting, outcome } => waiting.answer(outcome),
+            DeskEvent::Read { reader, index: Some(index) } => self.serve_reader(reader, index),
+            DeskEvent::Read { reader, index: None } => reader.refuse(),
+            DeskEvent::Changed(ChangedPart::Config) => self.publish_config(),
+            DeskEvent::Changed(ChangedPart::Stores) => self.publish_stores(),
+            DeskEvent::Changed(ChangedPart::Trial) => self.publish_trial(),
+            DeskEvent::Changed(ChangedPart::Holders) => self.hold_zones(),
+            DeskEvent::Members(index) => self.publish_cells(index),
+            DeskEvent::Restored => self.publish_state(),
         }
-        outcome
     }
 
     /// Asks a majority whether this cell's view is current.
-    pub fn confirm_for(&mut self, r: Reader) -> bool {
-        let token = self.reads.begin(r);
+    pub fn confirm_for(&mut self, reader: Reader) -> bool {
         if self.driver.leads() {
+            let token = self.desk.read(reader);
             return self.agree_on(Event::Confirm { token });
         }
         let Some(addr) = self.leader_addr() else {
-            if let Some(r) = self.reads.take(token) {
-                self.confirmed(r, None);
-            }
+            reader.refuse();
             return true;
         };
+        let within = reader.remaining();
+        let token = self.desk.read(reader);
         let c = self.links.caller(&addr);
         let q = self.queue.clone();
         tokio::spawn(async move {
-            let within = Duration::from_millis(1200);
-            let index = match c.call::<_, CellReply>(&CellCall::Confirm, within).await {
+            let call = within_call(within, CellCall::Confirm);
+            let index = match c.call::<_, CellReply>(&call, within).await {
                 Ok(CellReply::Index(i)) => Some(i),
                 _ => None,
             };
@@ -152,29 +130,52 @@
         true
     }
 
-    /// A read's index is known, or that it can't be confirmed.
-    pub fn confirmed(&mut self, reader: Reader, index: Option<u64>) {
-        match index {
-            None => reader.refuse(),
-            Some(index) if index <= self.driver.node.applied => {
-                self.serve_reader(ConfirmedRead { index, reader });
+    /// Serves a read whose index is applied and was confirmed after the read began.
+    fn serve_reader(&mut self, reader: Reader, index: u64) {
+        match reader {
+            Reader::Config(w) => {
+                let config = self.desk.state().config.as_ref();
+                let body = config.map(|c| Bytes::from(c.body.to_vec()));
+                w.answer(Some(body));
             }
-            Some(index) => self.reads.wait(ConfirmedRead { index, reader }),
+            Reader::Follow(from, w) => {
+                let (items, feed) = self.open_feed(from.feed, from.no, from.wants);
+                w.answer(Some(OpenedFeed { items, feed }));
+            }
+            Reader::Index(w) => w.answer(CellReply::Index(index)),
+            Reader::Retire { store, ask_only, waiting } => self.retire(&store, ask_only, waiting),
+            Reader::Trial { ask, waiting } => self.asked_of_trial(ask, waiting),
         }
     }
 
-    fn serve_reader(&mut self, read: ConfirmedRead<Reader>) {
-        match read.reader {
-            Reader::Config(tx) => {
-                let body = self.state.config.as_ref().map(|c| Bytes::from(c.body.to_vec()));
-                let _ = tx.send(Some(body));
-            }
-            Reader::Follow { feed, no, wants, reply } => {
-                let _ = reply.send(Some(self.open_feed(feed, no, wants)));
+    fn retire(&mut self, store: &str, ask_only: bool, waiting: Waiting<CellReply>) {
+        match retire_step(&self.desk.state().stores, store, ask_only) {
+            RetireStep::Answer(state) => waiting.answer(CellReply::Retire(state)),
+            RetireStep::Propose(change) => {
+                self.change(&change, Some(Order::Retire(waiting)));
             }
-            Reader::Index(tx) => {
-                let _ = tx.send(CellReply::Index(read.index));
+        }
+    }
+
+    fn asked_of_trial(&mut self, ask: TrialAsk, waiting: Waiting<CellReply>) {
+        match self.trial.step(self.desk.state(), ask) {
+            TrialStep::Answer(answer) => waiting.answer(answer),
+            TrialStep::Propose(change) => {
+                self.change(&change, Some(Order::Plain(waiting)));
             }
         }
     }
 }
+
+/// A call to be answered while its caller waits.
+pub(super) fn within_call(within: Duration, call: CellCall) -> CellCall {
+    CellCall::Within { ms: within.as_millis() as u64, call: Box::new(call) }
+}
+
+fn encode_bytes<T: Serialize>(value: &T) -> ByteBuf {
+    ByteBuf::from(Vec::from(encode(value)))
+}
+
+fn unreadable(e: &UnreadableState) -> NodeError {
+    NodeError::Damaged { file: "agreement".into(), offset: e.index, reason: e.to_string() }
+}
--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -140,10 +140,23 @@
         self.node.last_contact().is_some_and(|t| self.began.elapsed() < t + within)
     }
 
+    /// Whether the last contact with a majority is recent enough to vouch for this cell's state: the
+    /// time after which others may have elected a new leader.
+    pub fn in_contact(&self) -> bool {
+        self.contact_within(self.node.tuning.election_high)
+    }
+
     pub fn leads(&self) -> bool {
         self.node.leads()
     }
 
+    /// Whether this cell leads and its state holds all that was agreed on in earlier terms: an entry of
+    /// its own term is applied.
+    pub fn leads_with_current_state(&self) -> bool {
+        let term = self.node.log.term_at(self.node.applied);
+        self.leads() && term == Some(self.node.hard.term)
+    }
+
     pub fn members(&self) -> &[Member] {
         self.node.log.members()
     }
@@ -154,11 +167,8 @@
 }
 
 fn read_state(dir: &Path, snap: &Snapshot) -> NodeResult<CellState> {
-    if snap.data.is_empty() {
-        return Ok(CellState::default());
-    }
     // Another version's state is not dropped for an empty one.
-    decode(&snap.data).ok_or_else(|| NodeError::Damaged {
+    CellState::read(&snap.data).ok_or_else(|| NodeError::Damaged {
         file: dir.join("agreement/snapshot").display().to_string(),
         offset: 0,
         reason: "the agreed state can't be read: damaged, or of another version".into(),
--- a/crates/control-cell/src/actor/duties.rs
+++ b/crates/control-cell/src/actor/duties.rs
@@ -7,15 +7,14 @@
 /// A holder that hasn't answered for this long gives its zones to another: the platform's list must be
 /// read well within the time in which leaving engines are to be left alone.
 const HOLDER_SILENT: Duration = Duration::from_millis(600);
-/// A feed is vouched for while the last contact with a majority is less than this ago.
-const FEED_CONTACT: Duration = Duration::from_millis(700);
 /// A member that heard a leader within this doesn't ask to be taken in.
 const JOIN_CONTACT: Duration = Duration::from_millis(1500);
 
 impl Actor {
     pub fn duties(&mut self, now: Instant) -> bool {
-        self.feed.beat(now, self.driver.contact_within(FEED_CONTACT));
-        for t in self.zones.due(now, &self.state, self.driver.me.id) {
+        self.feed.beat(now, self.driver.in_contact());
+        self.desk.retain_readers(|r| !r.is_gone());
+        for t in self.zones.due(now, self.desk.state(), self.driver.me.id) {
             self.tell_table(&t);
         }
         if !self.driver.leads() {
@@ -23,7 +22,8 @@
             self.tell_leader_all(now);
             return true;
         }
-        if self.driver.node.commit < self.driver.node.log.last() {
+        let all_agreed = self.driver.node.commit == self.driver.node.log.last();
+        if !all_agreed || !self.driver.leads_with_current_state() {
             // One thing at a time: what was proposed last isn't agreed on yet.
             return true;
         }
@@ -56,7 +56,7 @@
     }
 
     fn lead_duties(&mut self, now: Instant) -> bool {
-        if let Some(end) = self.trial.judge(&self.state) {
+        if let Some(end) = self.trial.judge(self.desk.state()) {
             return self.change(&end, None);
         }
         if let Some(next) = self.members.next(&self.driver, now) {
@@ -67,9 +67,9 @@
         }
         let calm = self.members.led_for(now);
         let tolerated = self.settings.tolerated.stores();
-        if let Some(set) = self.stores.next(&self.state.stores, now, calm, tolerated) {
+        if let Some(set) = self.stores.next(&self.desk.state().stores, now, calm, tolerated) {
             info!("store set {} with {} stores", set.version, set.stores.len());
-            let change = Change::PutStores { base: self.state.stores.version, set };
+            let change = Change::PutStores { base: self.desk.state().stores.version, set };
             return self.change(&change, None);
         }
         true
@@ -81,7 +81,7 @@
             !self.members.is_leaving(id)
                 && self.members.silent(id, &self.driver, now) < HOLDER_SILENT
         };
-        next_holders(&self.state.holders, &zones, self.driver.members(), alive)
+        next_holders(&self.desk.state().holders, &zones, self.driver.members(), alive)
     }
 
     /// A store's word about itself goes to the leader.
@@ -95,7 +95,7 @@
 
     /// Reports of nodes that follow this cell: they go to the leader, or from it to another cell.
     pub fn took_outcomes(&mut self, reports: Vec<NodeReport>) {
-        let reports = self.trial.keep(&self.state, reports);
+        let reports = self.trial.keep(self.desk.state(), reports);
         if reports.is_empty() {
             return;
         }
@@ -115,7 +115,8 @@
     }
 
     fn tell_leader_all(&mut self, now: Instant) {
-        let (Some(_), Some(id)) = (running_trial(&self.state), self.driver.node.leader) else {
+        let (Some(_), Some(id)) = (running_trial(self.desk.state()), self.driver.node.leader)
+        else {
             return;
         };
         let Some(l) = self.leader_addr() else {
--- a/crates/control-cell/src/actor/feed.rs
+++ b/crates/control-cell/src/actor/feed.rs
@@ -112,11 +112,10 @@
 
     /// Tells followers that this cell still has a majority, or lets them go.
     pub fn beat(&mut self, now: Instant, in_contact: bool) {
-        if now < self.next_beat || self.followers.is_empty() {
-            return;
-        }
         if !in_contact {
             self.followers.clear();
+        }
+        if now < self.next_beat || self.followers.is_empty() {
             return;
         }
         self.next_beat = now + BEAT;
--- a/crates/control-cell/src/actor/handle.rs
+++ b/crates/control-cell/src/actor/handle.rs
@@ -2,48 +2,116 @@
 use super::feed::FeedReceiver;
 use crate::prelude::*;
 
+/// Who waits for an answer, and until when: after that nothing more is done for it.
+pub struct Waiting<T> {
+    reply: oneshot::Sender<T>,
+    deadline: Instant,
+}
+
+impl<T> Waiting<T> {
+    /// Answers; one that is gone isn't told.
+    pub fn answer(self, value: T) {
+        let _ = self.reply.send(value);
+    }
+
+    /// Nobody waits any more.
+    pub fn is_gone(&self) -> bool {
+        self.reply.is_closed() || Instant::now() >= self.deadline
+    }
+
+    /// How long the caller waits yet.
+    pub fn remaining(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
+    }
+
+    /// Ends when the caller is gone.
+    pub async fn gone(&mut self) {
+        self.reply.closed().await;
+    }
+}
+
+/// A follower's feed, opened.
+pub struct OpenedFeed {
+    /// What it is told from now on.
+    pub items: FeedReceiver,
+    /// The feed's identity.
+    pub feed: u64,
+}
+
+/// Where a follower wants its feed to go on, and what it takes.
+#[derive(Debug, Clone, Copy)]
+pub struct FollowFrom {
+    /// The feed it followed before.
+    pub feed: u64,
+    /// The newest number it has of it.
+    pub no: u64,
+    /// What it takes.
+    pub wants: Wants,
+}
+
+/// What the actor is asked for or told.
 pub enum CellCommand {
-    Call(CellCall, oneshot::Sender<CellReply>),
+    /// A call that is answered.
+    Call(CellCall, Waiting<CellReply>),
+    /// One that isn't.
     Tell(CellCall),
     /// Outcomes from nodes that follow this cell.
     Outcomes(Vec<NodeReport>),
+    /// A zone's list was read.
     Listed {
+        /// The zone.
         zone: String,
+        /// The log index that made this cell its holder.
         epoch: u64,
+        /// The engines on the list.
         engines: Vec<EngineEntry>,
     },
-    Follow {
-        feed: u64,
-        no: u64,
-        wants: Wants,
-        reply: oneshot::Sender<Option<(FeedReceiver, u64)>>,
-    },
-    ReadConfig(oneshot::Sender<Option<Option<Bytes>>>),
+    /// Opens a feed; none when no majority confirms that this cell is current.
+    Follow(FollowFrom, Waiting<Option<OpenedFeed>>),
+    /// Reads the newest configuration; none when no majority confirms that this cell is current.
+    ReadConfig(Waiting<Option<Option<Bytes>>>),
     /// A forwarded confirmation came back: the index to have applied, or none.
     ForwardConfirmed {
+        /// The read's token.
         token: u64,
+        /// The index to have applied.
         index: Option<u64>,
     },
+    /// The cell ends in order.
     Leave(oneshot::Sender<()>),
 }
 
+/// A handle to a cell's actor.
 #[derive(Clone)]
 pub struct CellHandle {
     pub(super) queue: mpsc::Sender<CellCommand>,
 }
 
-const WITHIN: Duration = Duration::from_millis(2500);
+/// How long a call of another process is worked on that doesn't say how long it waits.
+const CALL_WITHIN: Duration = Duration::from_millis(2500);
+/// A follower gives a link up after a second of silence.
+const FOLLOW_WITHIN: Duration = Duration::from_millis(900);
+/// How long a cell that ends waits for its last word to get out.
+const LEAVE_WITHIN: Duration = Duration::from_secs(2);
 
 impl CellHandle {
-    async fn ask(&self, call: CellCall) -> CellReply {
-        let (tx, rx) = oneshot::channel();
-        if self.queue.send(CellCommand::Call(call, tx)).await.is_err() {
-            return CellReply::Unable;
-        }
-        match tokio::time::timeout(WITHIN, rx).await {
-            Ok(Ok(r)) => r,
-            _ => CellReply::Unable,
-        }
+    /// Queues a command and waits for its answer until the deadline.
+    async fn wait<T>(
+        &self,
+        deadline: Instant,
+        command: impl FnOnce(Waiting<T>) -> CellCommand,
+    ) -> Option<T> {
+        let (reply, answer) = oneshot::channel();
+        let answered = async {
+            self.queue.send(command(Waiting { reply, deadline })).await.ok()?;
+            answer.await.ok()
+        };
+        tokio::time::timeout_at(deadline.into(), answered).await.ok()?
+    }
+
+    async fn ask(&self, call: CellCall, deadline: Instant) -> CellReply {
+        let answer = self.wait(deadline, |w| CellCommand::Call(call, w)).await;
+        answer.unwrap_or(CellReply::Unable)
     }
 
     /// A call of another cell.
@@ -53,43 +121,50 @@
                 let _ = self.queue.send(CellCommand::Tell(q)).await;
                 None
             }
-            _ => Some(self.ask(q).await),
+            CellCall::Within { ms, call } => {
+                let within = Duration::from_millis(ms).min(CALL_WITHIN);
+                Some(self.ask(*call, Instant::now() + within).await)
+            }
+            _ => Some(self.ask(q, Instant::now() + CALL_WITHIN).await),
         }
     }
 
-    pub async fn propose(&self, change: Change) -> CellReply {
-        self.ask(CellCall::Propose { change }).await
+    /// Proposes a change; it isn't proposed after the deadline.
+    pub async fn propose(&self, change: Change, deadline: Instant) -> CellReply {
+        self.ask(CellCall::Propose { change }, deadline).await
     }
 
-    pub async fn retire(&self, store: String, ask_only: bool) -> CellReply {
-        self.ask(CellCall::Retire { store, ask_only }).await
+    /// Orders a store to be emptied, or only asks how that goes.
+    pub async fn retire(&self, store: String, ask_only: bool, deadline: Instant) -> CellReply {
+        self.ask(CellCall::Retire { store, ask_only }, deadline).await
     }
 
+    /// A store's word about itself.
     pub fn announce(&self, status: StoreStatus) {
         let _ = self.queue.try_send(CellCommand::Tell(CellCall::Announce { status }));
     }
 
+    /// What nodes that follow this cell counted.
     pub fn outcomes(&self, reports: Vec<NodeReport>) {
         let _ = self.queue.try_send(CellCommand::Outcomes(reports));
     }
 
     /// The newest configuration, confirmed by a majority.
-    pub async fn read_config(&self) -> Option<Option<Bytes>> {
-        let (tx, rx) = oneshot::channel();
-        self.queue.send(CellCommand::ReadConfig(tx)).await.ok()?;
-        tokio::time::timeout(WITHIN, rx).await.ok()?.ok()?
+    pub async fn read_config(&self, deadline: Instant) -> Option<Option<Bytes>> {
+        self.wait(deadline, CellCommand::ReadConfig).await?
     }
 
-    pub async fn follow(&self, feed: u64, no: u64, wants: Wants) -> Option<(FeedReceiver, u64)> {
-        let (tx, rx) = oneshot::channel();
-        self.queue.send(CellCommand::Follow { feed, no, wants, reply: tx }).await.ok()?;
-        tokio::time::timeout(WITHIN, rx).await.ok()?.ok()?
+    /// Opens a feed once a majority has confirmed that this cell is current.
+    pub async fn follow(&self, from: FollowFrom) -> Option<OpenedFeed> {
+        let deadline = Instant::now() + FOLLOW_WITHIN;
+        self.wait(deadline, |w| CellCommand::Follow(from, w)).await?
     }
 
+    /// Ends in order: the lead and the zones go to others.
     pub async fn leave(&self) {
         let (tx, rx) = oneshot::channel();
         if self.queue.send(CellCommand::Leave(tx)).await.is_ok() {
-            let _ = tokio::time::timeout(Duration::from_secs(2), rx).await;
+            let _ = tokio::time::timeout(LEAVE_WITHIN, rx).await;
         }
     }
 }
--- a/crates/control-cell/src/actor/mod.rs
+++ b/crates/control-cell/src/actor/mod.rs
@@ -9,7 +9,6 @@
 mod items;
 mod links;
 mod membership;
-mod pending;
 mod publish;
 mod run;
 mod stores;
@@ -18,7 +17,7 @@
 mod zones;
 
 pub use feed::Wants;
-pub use handle::{CellCommand, CellHandle};
+pub use handle::{CellCommand, CellHandle, FollowFrom, OpenedFeed, Waiting};
 
 use crate::prelude::*;
 use run::Actor;
--- a/crates/control-cell/src/actor/publish.rs
+++ b/crates/control-cell/src/actor/publish.rs
@@ -14,13 +14,13 @@
     }
 
     pub fn publish_config(&mut self) {
-        if let Some(c) = &self.state.config {
+        if let Some(c) = &self.desk.state().config {
             self.feed.publish_config(c);
         }
     }
 
     pub fn publish_stores(&mut self) {
-        if let Some(item) = stores_item(&self.state) {
+        if let Some(item) = stores_item(self.desk.state()) {
             self.feed.publish(item);
         }
     }
@@ -30,18 +30,19 @@
     }
 
     pub fn publish_trial(&mut self) {
-        if let Some(item) = trial_item(&self.state) {
-            self.trial.follow(&self.state);
+        if let Some(item) = trial_item(self.desk.state()) {
+            self.trial.follow(self.desk.state());
             self.feed.publish(item);
         }
     }
 
     pub fn hold_zones(&mut self) {
-        self.zones.hold(&self.state, self.driver.me.id);
+        self.zones.hold(self.desk.state(), self.driver.me.id);
     }
 
     pub fn open_feed(&mut self, feed: u64, no: u64, wants: Wants) -> (FeedReceiver, u64) {
-        let Actor { state, driver, zones, .. } = self;
+        let Actor { desk, driver, zones, .. } = self;
+        let state = desk.state();
         self.feed.open(feed, no, wants, || {
             let mut whole: Vec<FeedItem> = Vec::new();
             whole.extend(config_item(state));
--- a/crates/control-cell/src/actor/run.rs
+++ b/crates/control-cell/src/actor/run.rs
@@ -1,9 +1,9 @@
 //! The actor: composes a cell's parts and works through its queue of commands.
 use super::driver::{ConsensusDriver, OpenedCell};
-use super::feed::{FeedBook, FeedReceiver};
+use super::feed::FeedBook;
+use super::handle::{FollowFrom, OpenedFeed};
 use super::links::CellLinks;
 use super::membership::MembershipDuty;
-use super::pending::{PendingOrders, PendingReads};
 use super::stores::StoreDuty;
 use super::trial::TrialDesk;
 use super::zones::ZoneDesk;
@@ -18,25 +18,81 @@
 /// How long a follower that ends stays so that its word gets out.
 const LEAVE_WORD: Duration = Duration::from_millis(300);
 
+/// Who waits for an order.
+pub(super) enum Order {
+    /// Answered with the outcome.
+    Plain(Waiting<CellReply>),
+    /// An order to empty a store.
+    Retire(Waiting<CellReply>),
+}
+
+impl Order {
+    pub fn is_gone(&self) -> bool {
+        match self {
+            Order::Plain(w) | Order::Retire(w) => w.is_gone(),
+        }
+    }
+
+    /// Without an outcome, nobody here can tell what becomes of the order: no claim is made.
+    pub fn answer(self, outcome: Option<Outcome>) {
+        match (self, outcome) {
+            (Order::Plain(w), Some(outcome)) => w.answer(CellReply::Outcome(outcome)),
+            (Order::Retire(w), Some(Outcome::Taken)) => {
+                w.answer(CellReply::Retire(RetireState::Running));
+            }
+            // Another change came between; sent again, the order finds what it led to.
+            (Order::Plain(w) | Order::Retire(w), _) => w.answer(CellReply::Unable),
+        }
+    }
+}
+
+/// Whoever is served from the agreed state, once a majority has confirmed that it is current.
 pub(super) enum Reader {
-    Config(oneshot::Sender<Option<Option<Bytes>>>),
-    Follow {
-        feed: u64,
-        no: u64,
-        wants: Wants,
-        reply: oneshot::Sender<Option<(FeedReceiver, u64)>>,
-    },
+    Config(Waiting<Option<Option<Bytes>>>),
+    Follow(FollowFrom, Waiting<Option<OpenedFeed>>),
     /// Another cell asks on behalf of its reader.
-    Index(oneshot::Sender<CellReply>),
+    Index(Waiting<CellReply>),
+    Retire {
+        store: String,
+        ask_only: bool,
+        waiting: Waiting<CellReply>,
+    },
+    Trial {
+        ask: TrialAsk,
+        waiting: Waiting<CellReply>,
+    },
 }
 
 impl Reader {
     /// No majority confirms that this cell is current.
     pub fn refuse(self) {
         match self {
-            Reader::Config(tx) => drop(tx.send(None)),
-            Reader::Follow { reply, .. } => drop(reply.send(None)),
-            Reader::Index(tx) => drop(tx.send(CellReply::Unable)),
+            Reader::Config(w) => w.answer(None),
+            Reader::Follow(_, w) => w.answer(None),
+            Reader::Index(w) => w.answer(CellReply::Unable),
+            Reader::Retire { waiting, .. } => waiting.answer(CellReply::Unable),
+            Reader::Trial { waiting, .. } => waiting.answer(CellReply::Unable),
+        }
+    }
+
+    /// How long the caller waits yet.
+    pub fn remaining(&self) -> Duration {
+        match self {
+            Reader::Config(w) => w.remaining(),
+            Reader::Follow(_, w) => w.remaining(),
+            Reader::Index(w) => w.remaining(),
+            Reader::Retire { waiting, .. } => waiting.remaining(),
+            Reader::Trial { waiting, .. } => waiting.remaining(),
+        }
+    }
+
+    pub fn is_gone(&self) -> bool {
+        match self {
+            Reader::Config(w) => w.is_gone(),
+            Reader::Follow(_, w) => w.is_gone(),
+            Reader::Index(w) => w.is_gone(),
+            Reader::Retire { waiting, .. } => waiting.is_gone(),
+            Reader::Trial { waiting, .. } => waiting.is_gone(),
         }
     }
 }
@@ -47,16 +103,17 @@
     done: oneshot::Sender<()>,
 }
 
-/// Invariants: `state` is what the log says up to the node's `applied`; a reader is served only when its
-/// index is applied.
+/// Invariant: `due` is empty unless something is being carried out.
 pub(super) struct Actor {
     pub settings: Arc<NodeSettings>,
     pub queue: mpsc::Sender<CellCommand>,
     pub driver: ConsensusDriver,
-    pub state: CellState,
+    /// What the agreement is yet to be asked, in order.
+    pub due: VecDeque<Event>,
+    /// An effect of the agreement is being carried out.
+    pub carrying: bool,
+    pub desk: OrderDesk<Order, Reader>,
     pub links: CellLinks,
-    pub orders: PendingOrders<oneshot::Sender<CellReply>>,
-    pub reads: PendingReads<Reader>,
     pub feed: FeedBook,
     pub zones: ZoneDesk,
     pub members: MembershipDuty,
@@ -77,11 +134,11 @@
         Ok(Actor {
             settings,
             queue,
+            desk: OrderDesk::new(state, driver.node.applied),
             driver,
-            state,
+            due: VecDeque::new(),
+            carrying: false,
             links: CellLinks::default(),
-            orders: PendingOrders::default(),
-            reads: PendingReads::default(),
             feed: FeedBook::default(),
             zones: ZoneDesk::new(lives, held, now),
             members: MembershipDuty::new(now),
@@ -106,7 +163,7 @@
             }
             ok = ok && self.timers(Instant::now());
         }
-        // The disk can't be written: nothing may be acknowledged any more.
+        // The disk can't be written, or what was agreed on can't be read: nothing may be said any more.
         std::process::exit(3);
     }
 
@@ -142,16 +199,15 @@
         match cmd {
             CellCommand::Tell(call) => return self.told_by(call),
             CellCommand::Outcomes(reports) => self.took_outcomes(reports),
-            CellCommand::Call(call, reply) => return self.called(call, reply),
+            CellCommand::Call(call, waiting) => return self.called(call, waiting),
             CellCommand::Listed { zone, epoch, engines } => self.listed(zone, epoch, engines),
-            CellCommand::Follow { feed, no, wants, reply } => {
-                return self.confirm_for(Reader::Follow { feed, no, wants, reply });
+            CellCommand::Follow(from, waiting) => {
+                return self.confirm_for(Reader::Follow(from, waiting));
             }
-            CellCommand::ReadConfig(reply) => return self.confirm_for(Reader::Config(reply)),
+            CellCommand::ReadConfig(waiting) => return self.confirm_for(Reader::Config(waiting)),
             CellCommand::ForwardConfirmed { token, index } => {
-                if let Some(r) = self.reads.take(token) {
-                    self.confirmed(r, index);
-                }
+                let events = self.desk.confirmed(token, index);
+                events.into_iter().for_each(|e| self.settle(e));
             }
             CellCommand::Leave(reply) => return self.leave(reply),
         }
@@ -167,7 +223,7 @@
             CellCall::Table { table } => self.take_table(table),
             CellCall::Announce { status } => self.announced(status),
             CellCall::Outcomes { reports } => {
-                self.trial.keep(&self.state, reports);
+                self.trial.keep(self.desk.state(), reports);
             }
             _ => {}
         }
--- a/crates/control-cell/src/actor/told.rs
+++ b/crates/control-cell/src/actor/told.rs
@@ -20,17 +20,19 @@
                 .map_or(0, |d| d.as_millis() as u64),
             commit: node.commit,
             applied: node.applied,
-            config_version: self.state.config_version(),
+            config_version: self.desk.state().config_version(),
             members: members.iter().filter_map(|m| name(&m.id)).collect(),
             stores: self
-                .state
+                .desk
+                .state()
                 .stores
                 .stores
                 .iter()
                 .map(|s| (s.name.clone(), format!("{:?}", s.state), s.addr.clone()))
                 .collect(),
             zones: self
-                .state
+                .desk
+                .state()
                 .holders
                 .iter()
                 .map(|(a, id)| (a.clone(), name(id), self.zones.engine_count(a)))
--- a/crates/control-cell/src/follow/mod.rs
+++ b/crates/control-cell/src/follow/mod.rs
@@ -1,4 +1,5 @@
 //! Serves the numbered feed to agents and stores.
+use crate::actor::{FollowFrom, OpenedFeed};
 use crate::prelude::*;
 use node_base::links::{frame_stream, serve_streams};
 
@@ -21,7 +22,8 @@
         return;
     };
     // What follows is only told once a majority has confirmed that this cell is not cut off.
-    let Some((mut items, opened)) = cell.follow(feed, no, Wants { topics, patches }).await else {
+    let from = FollowFrom { feed, no, wants: Wants { topics, patches } };
+    let Some(OpenedFeed { mut items, feed: opened }) = cell.follow(from).await else {
         return;
     };
     if wire.send(encode(&FeedMsg::Open { feed: opened })).await.is_err() {
--- a/crates/control-cell/src/lib.rs
+++ b/crates/control-cell/src/lib.rs
@@ -5,6 +5,7 @@
 pub mod follow;
 pub mod listing;
 pub mod operator;
+pub mod orders;
 pub mod prelude;
 pub mod state;
 
--- a/crates/control-cell/src/operator/mod.rs
+++ b/crates/control-cell/src/operator/mod.rs
@@ -4,6 +4,11 @@
 use std::convert::Infallible;
 
 const MOST_BODY: usize = 24 << 20;
+/// Callers go on to another node after a second of silence: a call is answered, and work for it ends,
+/// before that.
+const ANSWER_WITHIN: Duration = Duration::from_millis(850);
+/// What each MiB of a body adds: callers wait longer for large ones, and it goes to every cell.
+const ANSWER_PER_MIB: Duration = Duration::from_millis(250);
 const HEADER_TIME: Duration = Duration::from_secs(10);
 
 type Answer = Response<Full<Bytes>>;
@@ -16,8 +21,17 @@
     r
 }
 
+/// When a call whose request was just read is to be answered. Everything along its path keeps to this.
+fn deadline_of(body_bytes: usize) -> Instant {
+    let mib = body_bytes as f64 / f64::from(1 << 20);
+    Instant::now() + ANSWER_WITHIN + ANSWER_PER_MIB.mul_f64(mib)
+}
+
 fn unable() -> Answer {
-    let mut r = answer(503, json!({"error": "no majority of the core within reach"}));
+    let mut r = answer(
+        503,
+        json!({"error": "no clear answer: no majority of the core within reach; ask again"}),
+    );
     r.headers_mut().insert("retry-after", hyper::header::HeaderValue::from_static("0.3"));
     r
 }
@@ -79,6 +93,7 @@
         }
         Err(_) => return answer(400, json!({"error": "the body broke off"})),
     };
+    let deadline = deadline_of(body.len());
     let Some(base) = base else {
         return answer(400, json!({"error": "If-Match must name the version it builds on"}));
     };
@@ -96,7 +111,7 @@
         body: ByteBuf::from(body.to_vec()),
     };
     drop(cfg);
-    match cell.propose(change).await {
+    match cell.propose(change, deadline).await {
         CellReply::Outcome(Outcome::Taken | Outcome::TakenBefore) => answer(200, json!({})),
         CellReply::Outcome(Outcome::Conflict) => {
             answer(412, json!({"error": "another version is in place"}))
@@ -109,7 +124,7 @@
 }
 
 async fn get_config(cell: CellHandle) -> Answer {
-    match cell.read_config().await {
+    match cell.read_config(deadline_of(0)).await {
         None => unable(),
         Some(None) => answer(404, json!({"error": "none was taken yet"})),
         Some(Some(body)) => {
@@ -121,7 +136,7 @@
 }
 
 async fn retire(cell: CellHandle, node: &str, ask_only: bool) -> Answer {
-    match cell.retire(node.to_string(), ask_only).await {
+    match cell.retire(node.to_string(), ask_only, deadline_of(0)).await {
         CellReply::Retire(RetireState::Unknown) => answer(404, json!({"error": "no such machine"})),
         CellReply::Retire(RetireState::TooFew) => {
             answer(409, json!({"error": "too few would be left"}))
--- a/crates/control-cell/src/actor/pending.rs
+++ b/crates/control-cell/src/orders/pending.rs
@@ -1,4 +1,4 @@
-//! Orders and reads that wait for the cells' agreement: a pure part, without clock or connections.
+//! Orders and reads that wait for the cells' agreement.
 use crate::prelude::*;
 
 /// Orders proposed here. Invariant: `placed` holds those that are in this cell's log since it leads and
@@ -100,4 +100,10 @@
         self.unapplied = wait;
         ready
     }
+
+    /// Keeps those that are still wanted.
+    pub fn retain(&mut self, wanted: impl Fn(&R) -> bool) {
+        self.unconfirmed.retain(|_, r| wanted(r));
+        self.unapplied.retain(|c| wanted(&c.reader));
+    }
 }
--- a/crates/control-cell/src/state/mod.rs
+++ b/crates/control-cell/src/state/mod.rs
@@ -31,6 +31,14 @@
 }
 
 impl CellState {
+    /// Reads the state from a snapshot; that of a cell that never had one is empty.
+    pub fn read(data: &[u8]) -> Option<Self> {
+        match data.is_empty() {
+            true => Some(CellState::default()),
+            false => decode(data),
+        }
+    }
+
     pub fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.version)
     }
--- /dev/null
+++ b/crates/control-cell/tests/common/mod.rs
@@ -0,0 +1,113 @@
+//! Cells on threads of their own, over loopback.
+#![allow(dead_code, reason = "each test file uses some of these")]
+use control_cell::prelude::*;
+use node_base::settings::CELL_PORT;
+use std::future::Future;
+use tokio::runtime::Builder;
+
+const PORTS: u16 = 27_580;
+
+/// Where a test's cells are: a loopback network of their own and a folder that goes with it.
+pub struct Place {
+    pub net: u8,
+    pub dir: PathBuf,
+}
+
+impl Place {
+    pub fn new(net: u8) -> Self {
+        let dir =
+            std::env::temp_dir().join(format!("spokebank-cells-{net}-{}", std::process::id()));
+        let _ = std::fs::remove_dir_all(&dir);
+        std::fs::create_dir_all(&dir).unwrap();
+        Place { net, dir }
+    }
+
+    fn settings(&self, i: usize) -> NodeSettings {
+        let Place { net, dir } = self;
+        let seeds: Vec<String> = (61..=63).map(|n| format!("\"127.0.{net}.{n}:1\"")).collect();
+        let text = format!(
+            "nodeName = \"core-{i}\"\nmachineClass = \"core\"\nipAddress = \"127.0.{net}.{}\"\nzone = \"a\"\n\
+             internalPortRange = [{PORTS},{}]\nseedAddresses = [{}]\nfirstStart = true\n\
+             dataDirectory = \"{}\"\n[zones]\na = \"r\"\n[listenAddresses]\n\
+             control = \"127.0.{net}.{}:28144\"\n[limits]\nmemoryMb = 256\nfileDescriptors = 2000\n\
+             diskMb = 64\n",
+            60 + i,
+            PORTS + 15,
+            seeds.join(", "),
+            dir.join(format!("core-{i}")).display(),
+            60 + i,
+        );
+        let file = dir.join(format!("core-{i}.toml"));
+        std::fs::write(&file, text).unwrap();
+        node_base::settings::read_settings(&file.display().to_string()).unwrap()
+    }
+
+    /// A cell on a thread of its own, which ends it like a kill would when told (or dropped).
+    pub fn cell(&self, i: usize) -> (CellHandle, oneshot::Sender<()>) {
+        let settings = Arc::new(self.settings(i));
+        let (stop, stopped) = oneshot::channel::<()>();
+        let (tx, rx) = std::sync::mpsc::channel();
+        std::thread::spawn(move || {
+            let rt = Builder::new_current_thread().enable_all().build().unwrap();
+            rt.block_on(async {
+                let inner = TcpListener::bind(settings.own_addr(CELL_PORT)).await.unwrap();
+                let cell = control_cell::actor::start(&settings).unwrap();
+                let h = cell.clone();
+                tokio::spawn(node_base::links::serve_calls(inner, move |q: CellCall| {
+                    let h = h.clone();
+                    async move { h.answer(q).await }
+                }));
+                tx.send(cell).unwrap();
+                let _ = stopped.await;
+            });
+        });
+        (rx.recv().unwrap(), stop)
+    }
+
+    /// Three cells that were founded together.
+    pub fn three(&self) -> (Vec<CellHandle>, Vec<oneshot::Sender<()>>) {
+        (1..=3).map(|i| self.cell(i)).unzip()
+    }
+}
+
+impl Drop for Place {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.dir);
+    }
+}
+
+pub fn run(play: impl Future<Output = ()>) {
+    Builder::new_current_thread().enable_all().build().unwrap().block_on(play);
+}
+
+pub async fn ask(c: &CellHandle, ask: TrialAsk) -> Option<CellReply> {
+    c.answer(CellCall::Trial { ask }).await
+}
+
+pub async fn leader(c: &CellHandle) -> Option<String> {
+    match c.answer(CellCall::Tell).await {
+        Some(CellReply::Told(t)) => t.leader,
+        _ => None,
+    }
+}
+
+/// The place of the leader among the cells, once all of them have told their names.
+pub async fn leader_at(cells: &[CellHandle]) -> usize {
+    let mut at = None;
+    until("a leader that is named", async || {
+        let name = leader(&cells[0]).await.unwrap_or_default();
+        at = name.strip_prefix("core-").and_then(|n| n.parse::<usize>().ok());
+        at.is_some()
+    })
+    .await;
+    at.unwrap() - 1
+}
+
+/// Asks again until the answer is as wanted; each ask waits for an answer, none waits for time.
+pub async fn until(what: &str, mut ok: impl AsyncFnMut() -> bool) {
+    let end = Instant::now() + Duration::from_secs(20);
+    while !ok().await {
+        assert!(Instant::now() < end, "not in time: {what}");
+        tokio::task::yield_now().await;
+    }
+}
--- /dev/null
+++ b/crates/control-cell/tests/currency.rs
@@ -0,0 +1,74 @@
+//! A leader that lost its majority, over loopback: it makes no claim about what is in force.
+mod common;
+
+use common::*;
+use control_cell::prelude::*;
+use routing_trial::prelude::check_spec;
+
+const SPEC: &str = "id = \"t\"\nname = \"t\"\n[control]\nname = \"a\"\n[candidate]\nname = \"b\"\n\
+                    stayMs = 1\n[guardrail]\nprotectedPriority = 0\n";
+
+fn deadline() -> Instant {
+    Instant::now() + Duration::from_secs(5)
+}
+
+/// The leader of three cells whose two others were just killed.
+async fn cut_leader(place: &Place) -> (CellHandle, oneshot::Sender<()>) {
+    let (mut cells, mut stops) = place.three();
+    let at = leader_at(&cells).await;
+    let start = || TrialAsk::Start { spec: Box::new(check_spec(SPEC).unwrap()) };
+    until("a start", async || {
+        matches!(ask(&cells[at], start()).await, Some(CellReply::Outcome(Outcome::Taken)))
+    })
+    .await;
+    let (cell, stop) = (cells.remove(at), stops.remove(at));
+    drop(stops);
+    (cell, stop)
+}
+
+#[test]
+fn a_cut_leader_says_nothing_of_a_retirement() {
+    let place = Place::new(11);
+    run(async {
+        let (cell, _stop) = cut_leader(&place).await;
+        for ask_only in [true, false] {
+            let answer = cell.retire("storage-1".into(), ask_only, deadline()).await;
+            assert!(matches!(answer, CellReply::Unable), "{answer:?}");
+        }
+    });
+}
+
+#[test]
+fn a_cut_leader_says_nothing_of_a_trial() {
+    let place = Place::new(12);
+    run(async {
+        let (cell, _stop) = cut_leader(&place).await;
+        let again = TrialAsk::Start { spec: Box::new(check_spec(SPEC).unwrap()) };
+        for asked in [TrialAsk::Tell, again] {
+            let answer = ask(&cell, asked).await;
+            assert!(matches!(answer, Some(CellReply::Unable)), "{answer:?}");
+        }
+    });
+}
+
+fn put(base: u64, version: u64) -> CellCall {
+    let body = ByteBuf::from(vec![version as u8]);
+    CellCall::Propose { change: Change::PutConfig { base, version, digest: version, body } }
+}
+
+#[test]
+fn an_order_is_not_proposed_once_its_caller_is_gone() {
+    let place = Place::new(13);
+    run(async {
+        let (cells, _stops) = place.three();
+        leader_at(&cells).await;
+        for (i, cell) in cells.iter().enumerate() {
+            let late = CellCall::Within { ms: 0, call: Box::new(put(0, 10 + i as u64)) };
+            let answer = cell.answer(late).await;
+            assert!(matches!(answer, Some(CellReply::Unable)), "{answer:?}");
+        }
+        // Had one of them been proposed, this would find another version in place.
+        let answer = cells[0].answer(put(0, 1)).await;
+        assert!(matches!(answer, Some(CellReply::Outcome(Outcome::Taken))), "{answer:?}");
+    });
+}
--- a/crates/control-cell/tests/trial_leader.rs
+++ b/crates/control-cell/tests/trial_leader.rs
@@ -1,53 +1,9 @@
 //! A trial over three cells whose leader changes while outcomes come in.
+mod common;
+
+use common::*;
 use control_cell::prelude::*;
-use node_base::settings::CELL_PORT;
 use routing_trial::prelude::{check_spec, Arm, Breach, Outcome as Came};
-use tokio::runtime::Builder;
-
-const PORTS: u16 = 27_580;
-
-fn settings(i: usize, dir: &Path) -> NodeSettings {
-    let text = format!(
-        "nodeName = \"core-{i}\"\nmachineClass = \"core\"\nipAddress = \"127.0.10.{}\"\nzone = \"a\"\n\
-         internalPortRange = [{PORTS},{}]\nseedAddresses = [\"127.0.10.61:1\", \"127.0.10.62:1\", \
-         \"127.0.10.63:1\"]\nfirstStart = true\ndataDirectory = \"{}\"\n[zones]\na = \"r\"\n\
-         [listenAddresses]\ncontrol = \"127.0.10.{}:28144\"\n[limits]\nmemoryMb = 256\n\
-         fileDescriptors = 2000\ndiskMb = 64\n",
-        60 + i,
-        PORTS + 15,
-        dir.join(format!("core-{i}")).display(),
-        60 + i,
-    );
-    let file = dir.join(format!("core-{i}.toml"));
-    std::fs::write(&file, text).unwrap();
-    node_base::settings::read_settings(&file.display().to_string()).unwrap()
-}
-
-/// A cell on a thread of its own, which ends it like a kill would when told (or dropped).
-fn cell(i: usize, dir: &Path) -> (CellHandle, oneshot::Sender<()>) {
-    let settings = Arc::new(settings(i, dir));
-    let (stop, stopped) = oneshot::channel::<()>();
-    let (tx, rx) = std::sync::mpsc::channel();
-    std::thread::spawn(move || {
-        let rt = Builder::new_current_thread().enable_all().build().unwrap();
-        rt.block_on(async {
-            let inner = TcpListener::bind(settings.own_addr(CELL_PORT)).await.unwrap();
-            let cell = control_cell::actor::start(&settings).unwrap();
-            let h = cell.clone();
-            tokio::spawn(node_base::links::serve_calls(inner, move |q: CellCall| {
-                let h = h.clone();
-                async move { h.answer(q).await }
-            }));
-            tx.send(cell).unwrap();
-            let _ = stopped.await;
-        });
-    });
-    (rx.recv().unwrap(), stop)
-}
-
-async fn ask(c: &CellHandle, ask: TrialAsk) -> Option<CellReply> {
-    c.answer(CellCall::Trial { ask }).await
-}
 
 async fn told(c: &CellHandle) -> Option<Box<TrialTold>> {
     match ask(c, TrialAsk::Tell).await {
@@ -56,22 +12,6 @@
     }
 }
 
-async fn leader(c: &CellHandle) -> Option<String> {
-    match c.answer(CellCall::Tell).await {
-        Some(CellReply::Told(t)) => t.leader,
-        _ => None,
-    }
-}
-
-/// Asks again until the answer is as wanted; each ask waits for an answer, none waits for time.
-async fn until(what: &str, mut ok: impl AsyncFnMut() -> bool) {
-    let end = Instant::now() + Duration::from_secs(20);
-    while !ok().await {
-        assert!(Instant::now() < end, "not in time: {what}");
-        tokio::task::yield_now().await;
-    }
-}
-
 fn report(key: u64, node: usize, seq: u64, turns: usize) -> NodeReport {
     let mut r = NodeReport::new(key, &format!("front-{node}"), 1);
     r.seq = seq;
@@ -83,13 +23,9 @@
 
 #[test]
 fn what_nodes_counted_outlives_a_change_of_leader() {
-    let dir = std::env::temp_dir().join(format!("spokebank-leader-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).unwrap();
-    let (cells, stops): (Vec<_>, Vec<_>) = (1..=3).map(|i| cell(i, &dir)).unzip();
-    let rt = Builder::new_current_thread().enable_all().build().unwrap();
-    rt.block_on(play(cells, stops));
-    let _ = std::fs::remove_dir_all(&dir);
+    let place = Place::new(10);
+    let (cells, stops) = place.three();
+    run(play(cells, stops));
 }
 
 async fn play(mut cells: Vec<CellHandle>, mut stops: Vec<oneshot::Sender<()>>) {
--- a/crates/inner-protocol/src/cells.rs
+++ b/crates/inner-protocol/src/cells.rs
@@ -115,6 +115,11 @@
     Trial {
         ask: TrialAsk,
     },
+    /// A call whose caller waits for so many milliseconds more; it isn't carried out after that.
+    Within {
+        ms: u64,
+        call: Box<CellCall>,
+    },
 }
 
 /// What an operator asks of the routing trial. A start and a stop are answered with an outcome.
