--- a/crates/control-cell/src/operator/mod.rs
+++ b/crates/control-cell/src/operator/mod.rs
@@ -1,6 +1,5 @@
 //! The operator's calls, over HTTP on `control`.
 use crate::prelude::*;
-use crate::state::digest_of;
 use std::convert::Infallible;
 
 const MOST_BODY: usize = 24 << 20;
@@ -107,7 +106,7 @@
     let change = Change::PutConfig {
         base,
         version: cfg.version,
-        digest: digest_of(&body),
+        sha256: order_digest(&body),
         body: ByteBuf::from(body.to_vec()),
     };
     drop(cfg);
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -2,11 +2,11 @@
 pub use crate::actor::{CellCommand, CellHandle, Waiting, Wants};
 pub use crate::duties::{next_holders, next_members, next_stores, StoreObservation};
 pub use crate::orders::{ChangedPart, DeskEvent, OrderDesk, UnreadableState};
-pub use crate::state::CellState;
+pub use crate::state::{order_digest, CellState, ConfirmedOrders};
 pub use agreement::prelude::{AgreementDisk, ConsensusNode, Effect, Event, HardState, Tuning};
 pub use inner_protocol::cells::{
-    Body, CellCall, CellReply, CellTold, Change, Entry, Member, Msg, Outcome, RetireState,
-    Snapshot, TrialAsk, TrialTold,
+    Body, BodyDigest, CellCall, CellReply, CellTold, Change, Entry, Member, Msg, Outcome,
+    RetireState, Snapshot, TrialAsk, TrialTold,
 };
 pub use inner_protocol::feed::{
     EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics, ZoneTable,
--- a/crates/control-cell/src/state/mod.rs
+++ b/crates/control-cell/src/state/mod.rs
@@ -1,22 +1,26 @@
 //! What the cells agree on: the same on every cell after the same entries.
-use crate::prelude::*;
+mod record;
+
+pub use record::{order_digest, ConfirmedOrders, MOST_CONFIRMED};
 
-const MOST_TAKEN: usize = 512;
+use crate::prelude::*;
 
+/// The newest configuration that was taken.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct TakenConfig {
     pub index: u64,
     pub version: u64,
-    pub digest: u64,
     pub body: ByteBuf,
 }
 
-/// Invariants: `config.version` only grows; `taken` names every configuration taken, oldest first, so
-/// that one sent again is known; `stores.version` grows by each change.
+/// Invariants: `config.version` only grows; `confirmed` names the configurations taken, so that one sent
+/// again is known; `stores.version` grows by each change.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct CellState {
     pub config: Option<TakenConfig>,
-    pub taken: VecDeque<(u64, u64)>,
+    /// Missing in snapshots of before there was one.
+    #[serde(default)]
+    pub confirmed: ConfirmedOrders,
     pub stores: StoreSet,
     pub stores_index: u64,
     pub holders: BTreeMap<String, u64>,
@@ -33,10 +37,14 @@
 impl CellState {
     /// Reads the state from a snapshot; that of a cell that never had one is empty.
     pub fn read(data: &[u8]) -> Option<Self> {
-        match data.is_empty() {
-            true => Some(CellState::default()),
-            false => decode(data),
+        if data.is_empty() {
+            return Some(CellState::default());
         }
+        let mut state: CellState = decode(data)?;
+        if let Some(c) = state.config.as_ref().filter(|_| state.confirmed.is_empty()) {
+            state.confirmed.add(c.version, order_digest(&c.body));
+        }
+        Some(state)
     }
 
     pub fn config_version(&self) -> u64 {
@@ -45,23 +53,8 @@
 
     pub fn apply(&mut self, index: u64, change: Change) -> Outcome {
         match change {
-            Change::PutConfig { base, version, digest, body } => {
-                if self.taken.contains(&(version, digest)) {
-                    return Outcome::TakenBefore;
-                }
-                let cur = self.config_version();
-                if base != cur {
-                    return Outcome::Conflict;
-                }
-                if version <= cur {
-                    return Outcome::NotAbove;
-                }
-                self.taken.push_back((version, digest));
-                if self.taken.len() > MOST_TAKEN {
-                    self.taken.pop_front();
-                }
-                self.config = Some(TakenConfig { index, version, digest, body });
-                Outcome::Taken
+            Change::PutConfig { base, version, sha256, body } => {
+                self.put_config(base, TakenConfig { index, version, body }, sha256)
             }
             Change::PutStores { base, mut set } => {
                 if base != self.stores.version {
@@ -91,12 +84,28 @@
             }
         }
     }
-}
 
-/// The same for two texts that say the same: keys are sorted, blanks left out.
-pub fn digest_of(body: &[u8]) -> u64 {
-    match serde_json::from_slice::<Value>(body) {
-        Ok(v) => fnv64(v.to_string().as_bytes()),
-        Err(_) => fnv64(body),
+    fn put_config(&mut self, base: u64, new: TakenConfig, sha256: BodyDigest) -> Outcome {
+        let version = new.version;
+        let digest = match sha256 == BodyDigest::default() {
+            true => order_digest(&new.body),
+            false => sha256,
+        };
+        if self.confirmed.has(version, &digest) {
+            return Outcome::TakenBefore;
+        }
+        // One that builds on its own version or a later one was never taken.
+        if base < version && self.confirmed.has_forgotten(version) {
+            return Outcome::Forgotten;
+        }
+        if base != self.config_version() {
+            return Outcome::Conflict;
+        }
+        if version <= base {
+            return Outcome::NotAbove;
+        }
+        self.confirmed.add(version, digest);
+        self.config = Some(new);
+        Outcome::Taken
     }
 }
--- a/crates/control-cell/tests/currency.rs
+++ b/crates/control-cell/tests/currency.rs
@@ -53,7 +53,9 @@
 
 fn put(base: u64, version: u64) -> CellCall {
     let body = ByteBuf::from(vec![version as u8]);
-    CellCall::Propose { change: Change::PutConfig { base, version, digest: version, body } }
+    CellCall::Propose {
+        change: Change::PutConfig { base, version, sha256: order_digest(&body), body },
+    }
 }
 
 #[test]
--- a/crates/control-cell/tests/trial_state.rs
+++ b/crates/control-cell/tests/trial_state.rs
@@ -38,10 +38,18 @@
     assert_eq!(st.trial_index, 10);
 }
 
-/// The state as it was kept before there were trials.
+#[derive(Serialize)]
+struct ConfigBefore {
+    index: u64,
+    version: u64,
+    digest: u64,
+    body: ByteBuf,
+}
+
+/// The state as it was kept before there were trials, and a record of orders with digests of 32 bytes.
 #[derive(Serialize)]
 struct Before {
-    config: Option<u64>,
+    config: Option<ConfigBefore>,
     taken: Vec<(u64, u64)>,
     stores: StoreSet,
     stores_index: u64,
@@ -52,16 +60,18 @@
 #[test]
 fn a_snapshot_older_than_trials_is_read() {
     let before = Before {
-        config: None,
+        config: Some(ConfigBefore { index: 2, version: 3, digest: 4, body: ByteBuf::from("{}") }),
         taken: vec![(3, 4)],
         stores: StoreSet { version: 7, ..StoreSet::default() },
         stores_index: 5,
         holders: BTreeMap::from([("a".into(), 1)]),
         epochs: BTreeMap::from([("a".into(), 2)]),
     };
-    let st: CellState = decode(&encode(&before)).unwrap();
-    assert_eq!((st.stores.version, st.taken.len(), st.trial.is_none()), (7, 1, true));
-    let mut st = st;
+    let mut st = CellState::read(&encode(&before)).unwrap();
+    assert_eq!((st.stores.version, st.confirmed.len(), st.trial.is_none()), (7, 1, true));
+    let body = ByteBuf::from("{}");
+    let again = Change::PutConfig { base: 0, version: 3, sha256: order_digest(&body), body };
+    assert_eq!(st.apply(8, again), Outcome::TakenBefore);
     st.apply(9, put(0, &trial(10)));
     let again: CellState = decode(&encode(&st)).unwrap();
     assert_eq!((again.trial, again.trial_index), (st.trial, 9));
--- a/crates/inner-protocol/src/cells.rs
+++ b/crates/inner-protocol/src/cells.rs
@@ -49,11 +49,21 @@
     TakeLead { term: u64 },
 }
 
+/// SHA-256 of a configuration's normalised text.
+pub type BodyDigest = serde_bytes::ByteArray<32>;
+
 /// A change the cells agree on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// An operator's configuration built on `base`.
-    PutConfig { base: u64, version: u64, digest: u64, body: ByteBuf },
+    /// An operator's configuration built on `base`. `sha256` is of its normalised text; it is empty in
+    /// entries older than it.
+    PutConfig {
+        base: u64,
+        version: u64,
+        #[serde(default)]
+        sha256: BodyDigest,
+        body: ByteBuf,
+    },
     /// The next store set; applied only on top of the set with version `base`.
     PutStores { base: u64, set: crate::stores::StoreSet },
     /// Who holds each zone.
@@ -72,6 +82,8 @@
     Conflict,
     /// The version isn't above the current one.
     NotAbove,
+    /// It may be one of those that were taken too long ago to be known again: no claim is made.
+    Forgotten,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
