--- /dev/null
+++ b/crates/control-cell/tests/history_model/cells.rs
@@ -0,0 +1,235 @@
+//! Cells without disks and sockets: real consensus nodes and order desks, messages in a bag.
+use super::spec::{Config, GetAnswer, Order, PutAnswer};
+use agreement::core::TermLog;
+use control_cell::prelude::*;
+
+/// One attempt of a call: answers to older attempts find nobody.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Attempt {
+    pub call: usize,
+    pub no: u64,
+}
+
+#[derive(Clone, Debug)]
+pub enum Reader {
+    Get(Attempt),
+    /// Another cell, in one of its lives, asks for its own reader.
+    Index {
+        cell: u64,
+        life: u64,
+        token: u64,
+    },
+}
+
+#[derive(Clone, Debug)]
+pub enum Packet {
+    Agree { from: u64, to: u64, msg: Msg },
+    Forward { from: u64, to: u64, attempt: Attempt, order: Order },
+    AskIndex { from: u64, to: u64, life: u64, token: u64 },
+    TellIndex { from: u64, to: u64, life: u64, token: u64, index: Option<u64> },
+    PutAnswer { from: u64, attempt: Attempt, answer: PutAnswer },
+    GetAnswer { from: u64, attempt: Attempt, answer: GetAnswer },
+}
+
+impl Packet {
+    pub fn from(&self) -> u64 {
+        match self {
+            Packet::Agree { from, .. }
+            | Packet::Forward { from, .. }
+            | Packet::AskIndex { from, .. }
+            | Packet::TellIndex { from, .. }
+            | Packet::PutAnswer { from, .. }
+            | Packet::GetAnswer { from, .. } => *from,
+        }
+    }
+
+    /// The cell that it goes to; the operator's answers go to none.
+    pub fn to(&self) -> Option<u64> {
+        match self {
+            Packet::Agree { to, .. }
+            | Packet::Forward { to, .. }
+            | Packet::AskIndex { to, .. }
+            | Packet::TellIndex { to, .. } => Some(*to),
+            Packet::PutAnswer { .. } | Packet::GetAnswer { .. } => None,
+        }
+    }
+}
+
+pub struct Cell {
+    pub node: ConsensusNode,
+    pub desk: OrderDesk<Attempt, Reader>,
+    life: u64,
+    /// What the disk holds: survives a crash.
+    hard: HardState,
+    disk: TermLog,
+    pub out: Vec<Packet>,
+}
+
+pub fn body_of(order: &Order) -> ByteBuf {
+    ByteBuf::from(format!("{{\"configVersion\":{},\"body\":{}}}", order.version, order.body))
+}
+
+fn change(order: &Order) -> Change {
+    let body = body_of(order);
+    let (base, version) = (order.base, order.version);
+    Change::PutConfig { base, version, sha256: order_digest(&body), body }
+}
+
+fn founders(ids: &[u64]) -> TermLog {
+    let member = |id: &u64| Member {
+        id: *id,
+        name: String::new(),
+        addr: String::new(),
+        zone: String::new(),
+    };
+    let members = ids.iter().map(member).collect();
+    TermLog { snap: Snapshot { members, ..Snapshot::default() }, entries: Vec::new() }
+}
+
+impl Cell {
+    pub fn founder(id: u64, ids: &[u64]) -> Self {
+        Cell::start(id, 1, HardState::default(), founders(ids))
+    }
+
+    fn start(id: u64, life: u64, hard: HardState, disk: TermLog) -> Self {
+        let state = CellState::read(&disk.snap.data).unwrap();
+        let seed = id * 77 + life;
+        let node = ConsensusNode::new(id, hard, disk.clone(), Tuning::default(), seed);
+        let desk = OrderDesk::new(state, node.applied);
+        Cell { node, desk, life, hard, disk, out: Vec::new() }
+    }
+
+    /// The process dies and starts again: only the disk is left.
+    pub fn crash(&mut self) {
+        *self = Cell::start(self.node.me, self.life + 1, self.hard, self.disk.clone());
+    }
+
+    /// As the actor does: saved first, then carried out in order.
+    pub fn step(&mut self, event: Event, now: Duration) {
+        let effects = self.node.handle(event, now);
+        effects.iter().for_each(|e| self.save(e));
+        for effect in effects {
+            match effect {
+                Effect::Send { to, msg } => {
+                    self.out.push(Packet::Agree { from: self.node.me, to, msg });
+                }
+                Effect::RoleIs(_) if !self.node.leads() => {
+                    let events = self.desk.stepped_down();
+                    events.into_iter().for_each(|e| self.settle(e));
+                }
+                other => {
+                    let events = self.desk.take(other).unwrap();
+                    events.into_iter().for_each(|e| self.settle(e));
+                }
+            }
+        }
+    }
+
+    fn save(&mut self, effect: &Effect) {
+        match effect {
+            Effect::SaveHardState(h) => self.hard = *h,
+            Effect::SaveEntries { from, entries } => {
+                self.disk.cut(*from);
+                self.disk.entries.extend(entries.iter().cloned());
+            }
+            Effect::SaveSnapshot(s) => {
+                let entries = self.node.log.entries.clone();
+                self.disk = TermLog { snap: s.clone(), entries };
+            }
+            _ => {}
+        }
+    }
+
+    pub fn compact(&mut self, now: Duration) {
+        let data = ByteBuf::from(encode(self.desk.state()).to_vec());
+        let index = self.desk.applied();
+        self.step(Event::Compact { index, data }, now);
+    }
+
+    fn settle(&mut self, event: DeskEvent<Attempt, Reader>) {
+        let from = self.node.me;
+        let packet = match event {
+            DeskEvent::Order { waiting: attempt, outcome } => {
+                let answer = match outcome {
+                    Some(Outcome::Taken | Outcome::TakenBefore) => PutAnswer::Acknowledged,
+                    Some(Outcome::Conflict) => PutAnswer::OtherVersion,
+                    Some(Outcome::NotAbove) => PutAnswer::NotAbove,
+                    Some(Outcome::Forgotten) | None => PutAnswer::Unclear,
+                };
+                Packet::PutAnswer { from, attempt, answer }
+            }
+            DeskEvent::Read { reader: Reader::Get(attempt), index } => {
+                let answer = match index {
+                    Some(_) => GetAnswer::Config(self.config()),
+                    None => GetAnswer::Unclear,
+                };
+                Packet::GetAnswer { from, attempt, answer }
+            }
+            DeskEvent::Read { reader: Reader::Index { cell, life, token }, index } => {
+                Packet::TellIndex { from, to: cell, life, token, index }
+            }
+            DeskEvent::Changed(_) | DeskEvent::Members(_) | DeskEvent::Restored => return,
+        };
+        self.out.push(packet);
+    }
+
+    pub fn config(&self) -> Option<Config> {
+        let c = self.desk.state().config.as_ref()?;
+        let v: Value = serde_json::from_slice(&c.body).unwrap();
+        assert_eq!(v["configVersion"], c.version, "a body under another's version");
+        Some(Config { version: c.version, body: v["body"].as_u64().unwrap() as u8 })
+    }
+
+    fn leader(&self) -> Option<u64> {
+        self.node.leader.filter(|l| *l != self.node.me)
+    }
+
+    pub fn put(&mut self, attempt: Attempt, order: Order, now: Duration) {
+        let from = self.node.me;
+        if self.node.leads() {
+            let token = self.desk.order(Some(attempt));
+            let body = Body::Command(ByteBuf::from(encode(&change(&order)).to_vec()));
+            return self.step(Event::Propose { token, body }, now);
+        }
+        self.out.push(match self.leader() {
+            Some(to) => Packet::Forward { from, to, attempt, order },
+            None => Packet::PutAnswer { from, attempt, answer: PutAnswer::Unclear },
+        });
+    }
+
+    pub fn get(&mut self, attempt: Attempt, now: Duration) {
+        let from = self.node.me;
+        if !self.node.leads() && self.leader().is_none() {
+            self.out.push(Packet::GetAnswer { from, attempt, answer: GetAnswer::Unclear });
+            return;
+        }
+        let token = self.desk.read(Reader::Get(attempt));
+        match self.leader() {
+            Some(to) if !self.node.leads() => {
+                self.out.push(Packet::AskIndex { from, to, life: self.life, token });
+            }
+            _ => self.step(Event::Confirm { token }, now),
+        }
+    }
+
+    pub fn receive(&mut self, packet: Packet, now: Duration) {
+        match packet {
+            Packet::Agree { from, msg, .. } => self.step(Event::Received { from, msg }, now),
+            Packet::Forward { attempt, order, .. } => self.put(attempt, order, now),
+            Packet::AskIndex { from, life, token, .. } if self.node.leads() => {
+                let token = self.desk.read(Reader::Index { cell: from, life, token });
+                self.step(Event::Confirm { token }, now);
+            }
+            Packet::AskIndex { from, life, token, .. } => {
+                let index = None;
+                let me = self.node.me;
+                self.out.push(Packet::TellIndex { from: me, to: from, life, token, index });
+            }
+            Packet::TellIndex { life, token, index, .. } if life == self.life => {
+                let events = self.desk.confirmed(token, index);
+                events.into_iter().for_each(|e| self.settle(e));
+            }
+            _ => {}
+        }
+    }
+}
