--- /dev/null
+++ b/crates/control-cell/src/actor/calls.rs
@@ -0,0 +1,77 @@
+//! Calls of other cells and of the operator's tasks.
+use super::carry::within_call;
+use super::run::{Actor, Order, Reader};
+use crate::prelude::*;
+
+impl Actor {
+    pub fn called(&mut self, call: CellCall, waiting: Waiting<CellReply>) -> bool {
+        if waiting.is_gone() {
+            return true;
+        }
+        let leads = self.driver.leads();
+        match call {
+            CellCall::Propose { change } if leads => {
+                return self.change(&change, Some(Order::Plain(waiting)));
+            }
+            CellCall::Confirm if leads => return self.confirm_for(Reader::Index(waiting)),
+            CellCall::Retire { store, ask_only } if leads => {
+                return self.confirm_for(Reader::Retire { store, ask_only, waiting });
+            }
+            CellCall::Trial { ask } if leads => {
+                return self.confirm_for(Reader::Trial { ask, waiting });
+            }
+            CellCall::Join { member } if leads => {
+                if !self.driver.members().contains(&member) {
+                    self.members.joins(member);
+                }
+                waiting.answer(CellReply::Done);
+            }
+            CellCall::Announce { status } if leads => {
+                self.stores.announced(status);
+                waiting.answer(CellReply::Done);
+            }
+            CellCall::Propose { .. }
+            | CellCall::Retire { .. }
+            | CellCall::Trial { .. }
+            | CellCall::Join { .. } => self.forward(call, waiting),
+            CellCall::Confirm | CellCall::Announce { .. } | CellCall::Within { .. } => {
+                waiting.answer(CellReply::Unable);
+            }
+            CellCall::Leave { id } => {
+                self.members.leaves(id);
+                waiting.answer(CellReply::Done);
+            }
+            CellCall::Tell => waiting.answer(CellReply::Told(self.told())),
+            CellCall::Outcomes { reports } => {
+                self.trial.keep(self.desk.state(), reports);
+                waiting.answer(CellReply::Done);
+            }
+            CellCall::Agree { .. } | CellCall::Table { .. } => waiting.answer(CellReply::Done),
+        }
+        true
+    }
+
+    /// Hands a call to the leader, for as long as its caller waits.
+    fn forward(&mut self, call: CellCall, mut waiting: Waiting<CellReply>) {
+        let Some(addr) = self.leader_addr() else {
+            waiting.answer(CellReply::Unable);
+            return;
+        };
+        let c = self.links.caller(&addr);
+        tokio::spawn(async move {
+            let within = waiting.remaining();
+            let call = within_call(within, call);
+            tokio::select! {
+                r = c.call::<_, CellReply>(&call, within) => {
+                    waiting.answer(r.unwrap_or(CellReply::Unable));
+                }
+                _ = waiting.gone() => {}
+            }
+        });
+    }
+
+    pub fn leader_addr(&self) -> Option<String> {
+        let id = self.driver.node.leader.filter(|id| *id != self.driver.me.id)?;
+        self.driver.member_addr(id).or_else(|| self.links.addr_of(id))
+    }
+}
