--- a/crates/agreement/src/core/mod.rs
+++ b/crates/agreement/src/core/mod.rs
@@ -1,11 +1,23 @@
 //! The pure part: (event, now) gives effects.
-mod lead;
+//!
+//! Plain data stands in `types`, `log`, `quorum`, `progress`, `leader`, `incoming` and `role`, none of
+//! which knows the node. `node` joins them; `election`, `follow`, `replicate` and `proposals` are its
+//! steps, one concern each.
+mod election;
+mod follow;
+mod incoming;
+mod leader;
 mod log;
-mod machine;
+mod node;
+mod progress;
+mod proposals;
+mod quorum;
+mod replicate;
 mod role;
-#[cfg(test)]
-mod schedule_tests;
+mod types;
 
 pub use log::TermLog;
-pub use machine::{ConsensusNode, Effect, Event, HardState, Tuning};
-pub use role::{Role, RoleEvent};
+pub use node::ConsensusNode;
+pub use progress::FollowerStatus;
+pub use role::{Role, RoleEvent, RoleState};
+pub use types::{Effect, Event, HardState, Tuning};
--- a/crates/agreement/src/core/role.rs
+++ b/crates/agreement/src/core/role.rs
@@ -1,11 +1,15 @@
 //! Which role a cell may go to from which, as a statig machine.
+#![allow(missing_docs, reason = "the derived state enum takes no doc comments")]
 use crate::prelude::*;
 
+/// What moves a cell from role to role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoleEvent {
     /// Nothing was heard from a leader for long.
     Silence,
+    /// A majority would vote for this cell.
     PreVotesWon,
+    /// A majority did.
     VotesWon,
     /// A newer term, a leader of this term, or too few followers.
     Yield,
@@ -13,6 +17,7 @@
     Named,
 }
 
+/// The machine's context, which holds nothing.
 #[derive(Default)]
 pub struct Role;
 
--- a/crates/agreement/src/prelude.rs
+++ b/crates/agreement/src/prelude.rs
@@ -1,7 +1,11 @@
 //! The one module every file of this package imports.
-pub use crate::core::{ConsensusNode, Effect, Event, HardState, Tuning};
+pub use crate::core::{
+    ConsensusNode, Effect, Event, FollowerStatus, HardState, RoleState, TermLog, Tuning,
+};
 pub use crate::store::AgreementDisk;
-pub use inner_protocol::cells::{Body, Entry, Member, Msg, Snapshot};
+pub use inner_protocol::cells::{
+    Body, Entry, LogPosition, Member, Membership, Msg, Snapshot, SnapshotChunk,
+};
 pub use inner_protocol::prelude::*;
 pub use statig::prelude::{state_machine, InitializedStateMachine, IntoStateMachineExt, Response};
 pub use statig::Response::{Handled, Transition};
--- a/crates/control-cell/src/actor/calls.rs
+++ b/crates/control-cell/src/actor/calls.rs
@@ -18,10 +18,9 @@
                 return self.retire(&store, ask_only, reply);
             }
             CellCall::Trial { ask } if leads => return self.asked_of_trial(ask, reply),
-            CellCall::Join { member } if leads => {
-                if !self.driver.members().contains(&member) {
-                    self.members.joins(member);
-                }
+            CellCall::ReadIndex if leads => return self.confirm_for(Reader::Index(reply)),
+            CellCall::Join { member, read_at } if leads => {
+                self.members.joins(JoinRequest { member, read_at });
                 let _ = reply.send(CellReply::Done);
             }
             CellCall::Announce { status } if leads => {
@@ -31,6 +30,7 @@
             CellCall::Propose { .. }
             | CellCall::Retire { .. }
             | CellCall::Trial { .. }
+            | CellCall::ReadIndex
             | CellCall::Join { .. } => self.forward(call, reply),
             CellCall::Confirm | CellCall::Announce { .. } => {
                 let _ = reply.send(CellReply::Unable);
--- a/crates/control-cell/src/actor/carry.rs
+++ b/crates/control-cell/src/actor/carry.rs
@@ -90,7 +90,7 @@
         let Entry { index, term, body } = entry;
         let outcome = match body {
             Body::Command(b) => decode::<Change>(&b).map(|c| self.apply_change(index, c)),
-            Body::Members(_) => {
+            Body::Membership(_) => {
                 self.publish_cells(index);
                 None
             }
--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -10,6 +10,8 @@
 pub(super) struct ConsensusDriver {
     pub me: Member,
     pub node: ConsensusNode,
+    /// Voters and learners of the newest membership in the log.
+    members: Vec<Member>,
     disk: AgreementDisk,
     began: Instant,
 }
@@ -32,12 +34,17 @@
     fnv64(addr.as_bytes()) | 1 << 63
 }
 
+fn members_of(node: &ConsensusNode) -> Vec<Member> {
+    node.log.membership().all().into_iter().cloned().collect()
+}
+
 fn founder(addr: &str) -> Member {
     Member {
         id: id_of_founder(addr),
         name: String::new(),
         addr: addr.to_string(),
         zone: String::new(),
+        incarnation: 0,
     }
 }
 
@@ -67,8 +74,9 @@
         let identity = match read_identity(&dir)? {
             Some(i) => i,
             None if settings.first_start && founders.contains(&own) => {
-                log.snap.members = founders.iter().map(|a| founder(a)).collect();
-                log.snap.members.dedup();
+                let mut voters: Vec<Member> = founders.iter().map(|a| founder(a)).collect();
+                voters.dedup();
+                log.snap.membership = Membership::of_voters(voters);
                 disk.save_snapshot(hard, &log)?;
                 Identity { id: id_of_founder(&own), lives: 1 }
             }
@@ -76,12 +84,18 @@
         };
         let Identity { id, lives } = identity;
         save_snapshot(&dir, IDENTITY, &encode(&(id, lives)))?;
-        let me =
-            Member { id, name: settings.node_name.clone(), addr: own, zone: settings.zone.clone() };
+        let me = Member {
+            id,
+            name: settings.node_name.clone(),
+            addr: own,
+            zone: settings.zone.clone(),
+            incarnation: 0,
+        };
         let state = read_state(&dir, &log.snap)?;
         let seed = fastrand::u64(..);
         let node = ConsensusNode::new(id, hard, log, Tuning::default(), seed);
-        let driver = ConsensusDriver { me, node, disk, began: Instant::now() };
+        let members = members_of(&node);
+        let driver = ConsensusDriver { me, node, members, disk, began: Instant::now() };
         Ok(OpenedCell { driver, state, lives })
     }
 
@@ -89,6 +103,9 @@
     pub fn handle(&mut self, ev: Event) -> NodeResult<Vec<Effect>> {
         let effects = self.node.handle(ev, self.began.elapsed());
         self.save(&effects)?;
+        if self.node.log.membership().all().into_iter().ne(&self.members) {
+            self.members = members_of(&self.node);
+        }
         Ok(effects)
     }
 
@@ -145,7 +162,14 @@
     }
 
     pub fn members(&self) -> &[Member] {
-        self.node.log.members()
+        &self.members
+    }
+
+    /// Whether the membership has this cell as it is.
+    pub fn knows_me(&self) -> bool {
+        let me = &self.me;
+        let entry = self.members.iter().find(|m| m.id == me.id);
+        entry.is_some_and(|m| (&m.name, &m.addr, &m.zone) == (&me.name, &me.addr, &me.zone))
     }
 
     pub fn member_addr(&self, id: u64) -> Option<String> {
--- a/crates/control-cell/src/actor/duties.rs
+++ b/crates/control-cell/src/actor/duties.rs
@@ -37,7 +37,7 @@
             return;
         }
         let heard = self.driver.contact_within(JOIN_CONTACT);
-        let known = self.driver.members().contains(&self.driver.me);
+        let known = self.driver.knows_me();
         if heard && known || self.ending.is_some() {
             return;
         }
@@ -50,8 +50,14 @@
         addrs.extend(self.driver.members().iter().map(|m| m.addr.clone()));
         addrs.remove(&self.driver.me.addr);
         for a in addrs {
-            let call = CellCall::Join { member: self.driver.me.clone() };
-            self.links.caller(&a).tell(&call);
+            let member = self.driver.me.clone();
+            let caller = self.links.caller(&a);
+            tokio::spawn(async move {
+                let index = caller.call::<_, CellReply>(&CellCall::ReadIndex, JOIN_CONTACT).await;
+                if let Ok(CellReply::Index(read_at)) = index {
+                    caller.tell(&CellCall::Join { member, read_at });
+                }
+            });
         }
     }
 
@@ -59,8 +65,8 @@
         if let Some(end) = self.trial.judge(&self.state) {
             return self.change(&end, None);
         }
-        if let Some(next) = self.members.next(&self.driver, now) {
-            return self.propose(Body::Members(next), None);
+        if let Some(next) = self.members.next(&self.driver, &self.policy(), now) {
+            return self.propose(Body::Membership(next), None);
         }
         if let Some(holders) = self.due_holders(now) {
             return self.change(&Change::PutHolders { holders }, None);
@@ -75,6 +81,11 @@
         true
     }
 
+    fn policy(&self) -> CorePolicy {
+        let regions = self.settings.zones.clone().into_iter().collect();
+        CorePolicy { tolerated: self.settings.tolerated, regions }
+    }
+
     fn due_holders(&self, now: Instant) -> Option<BTreeMap<String, u64>> {
         let zones: BTreeSet<String> = self.settings.zones.keys().cloned().collect();
         let alive = |id: u64| {
--- a/crates/control-cell/src/actor/membership.rs
+++ b/crates/control-cell/src/actor/membership.rs
@@ -20,7 +20,7 @@
 }
 
 struct Request {
-    member: Member,
+    join: JoinRequest,
     at: Instant,
 }
 
@@ -50,8 +50,8 @@
         }
     }
 
-    pub fn joins(&mut self, member: Member) {
-        self.joiners.insert(member.id, Request { member, at: Instant::now() });
+    pub fn joins(&mut self, join: JoinRequest) {
+        self.joiners.insert(join.member.id, Request { join, at: Instant::now() });
     }
 
     pub fn leaves(&mut self, id: u64) {
@@ -95,23 +95,47 @@
         }
     }
 
-    /// The next member list, if one is due.
-    pub fn next(&self, driver: &ConsensusDriver, now: Instant) -> Option<Vec<Member>> {
-        let members = driver.members();
-        let named: Vec<Member> = members.iter().map(|m| self.named(m, &driver.me)).collect();
-        if named != members {
-            return Some(named);
+    /// The next membership, if one is due.
+    pub fn next(
+        &self,
+        driver: &ConsensusDriver,
+        policy: &CorePolicy,
+        now: Instant,
+    ) -> Option<Membership> {
+        let current = driver.node.log.membership();
+        if current.is_joint() {
+            return None;
         }
-        let joiners: Vec<Member> = self.joiners.values().map(|r| r.member.clone()).collect();
-        next_members(members, driver.me.id, &joiners, |id| self.silent(id, driver, now))
+        let named = |members: &[Member]| -> Vec<Member> {
+            members.iter().map(|m| self.named(m, &driver.me)).collect()
+        };
+        let next = Membership {
+            voters: named(&current.voters),
+            outgoing: Vec::new(),
+            learners: named(&current.learners),
+        };
+        if next != *current {
+            return Some(next);
+        }
+        let joiners: Vec<JoinRequest> = self.joiners.values().map(|r| r.join.clone()).collect();
+        let entry = driver.node.log.last() + 1;
+        let observe = |id| MemberObservation {
+            silent: match self.is_leaving(id) {
+                true => Duration::MAX,
+                false => self.silent(id, driver, now),
+            },
+            caught_up: driver.node.follower(id).is_some_and(|f| f.caught_up),
+        };
+        next_membership(current, driver.me.id, &joiners, entry, policy, observe)
     }
 
     /// A founder's entry learns its name and zone when the cell itself tells them.
     fn named(&self, m: &Member, me: &Member) -> Member {
-        match self.joiners.get(&m.id) {
-            Some(r) => r.member.clone(),
-            None if m.id == me.id => me.clone(),
-            None => m.clone(),
-        }
+        let newest = match self.joiners.get(&m.id) {
+            Some(r) => &r.join.member,
+            None if m.id == me.id => me,
+            None => m,
+        };
+        Member { incarnation: m.incarnation, ..newest.clone() }
     }
 }
--- a/crates/control-cell/src/actor/publish.rs
+++ b/crates/control-cell/src/actor/publish.rs
@@ -8,7 +8,7 @@
     pub fn publish_state(&mut self) {
         self.publish_config();
         self.publish_stores();
-        self.publish_cells(self.driver.node.log.members_index());
+        self.publish_cells(self.driver.node.log.membership_index());
         self.publish_trial();
         self.hold_zones();
     }
@@ -46,7 +46,7 @@
             let mut whole: Vec<FeedItem> = Vec::new();
             whole.extend(config_item(state));
             whole.extend(stores_item(state));
-            whole.push(cells_item(driver.node.log.members_index(), driver.members()));
+            whole.push(cells_item(driver.node.log.membership_index(), driver.members()));
             whole.extend(trial_item(state));
             whole.extend(zones.tables().cloned().map(FeedItem::Zone));
             whole
--- a/crates/control-cell/src/duties/mod.rs
+++ b/crates/control-cell/src/duties/mod.rs
@@ -5,5 +5,5 @@
 mod stores;
 
 pub use holders::next_holders;
-pub use members::next_members;
+pub use members::{next_membership, CorePolicy, JoinRequest, MemberObservation};
 pub use stores::{may_retire, next_stores, StoreObservation};
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -1,11 +1,14 @@
 //! The one module every file of this package imports.
 pub use crate::actor::{CellCommand, CellHandle, Wants};
-pub use crate::duties::{next_holders, next_members, next_stores, StoreObservation};
+pub use crate::duties::{
+    next_holders, next_membership, next_stores, CorePolicy, JoinRequest, MemberObservation,
+    StoreObservation,
+};
 pub use crate::state::CellState;
 pub use agreement::prelude::{AgreementDisk, ConsensusNode, Effect, Event, HardState, Tuning};
 pub use inner_protocol::cells::{
-    Body, CellCall, CellReply, CellTold, Change, Entry, Member, Msg, Outcome, RetireState,
-    Snapshot, TrialAsk, TrialTold,
+    Body, CellCall, CellReply, CellTold, Change, Entry, LogPosition, Member, Membership, Msg,
+    Outcome, RetireState, Snapshot, TrialAsk, TrialTold,
 };
 pub use inner_protocol::feed::{
     EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics, ZoneTable,
--- a/crates/inner-protocol/src/cells.rs
+++ b/crates/inner-protocol/src/cells.rs
@@ -4,49 +4,260 @@
 use crate::stores::StoreStatus;
 
 /// A member of the core: an identity that lasts as long as its disk, and where it is reached.
-/// Invariant: `id` is never used again once its disk is lost.
+/// Invariants: `id` is never used again once its disk is lost; of two lives of one machine the later
+/// one has the higher `incarnation`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
+    /// Drawn once for each disk.
     pub id: u64,
+    /// The machine's name; empty for a founder that hasn't reported yet.
     pub name: String,
+    /// Where its inner calls are answered.
     pub addr: String,
+    /// The machine's zone; empty for a founder that hasn't reported yet.
     pub zone: String,
+    /// The log index of the entry that took this life in; 0 for founders.
+    #[serde(default)]
+    pub incarnation: u64,
 }
 
+/// Who replicates the log, and whose answers count.
+/// Invariants: an id stands in `voters` or in `learners`, never in both; `outgoing` is empty but in a
+/// joint state, in which a majority of `voters` and one of `outgoing` are both needed for votes, commits,
+/// read confirmations and contact.
+#[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Membership {
+    /// Their majority decides.
+    pub voters: Vec<Member>,
+    /// The voters before the change that is under way.
+    pub outgoing: Vec<Member>,
+    /// They receive the log and are never counted.
+    pub learners: Vec<Member>,
+}
+
+impl Membership {
+    /// A settled membership without learners.
+    pub fn of_voters(voters: Vec<Member>) -> Self {
+        Membership { voters, ..Membership::default() }
+    }
+
+    /// Whether a change of voters is under way.
+    pub fn is_joint(&self) -> bool {
+        !self.outgoing.is_empty()
+    }
+
+    /// Whether the answers of `id` count, in the old or in the new set.
+    pub fn is_voter(&self, id: u64) -> bool {
+        self.voters.iter().chain(&self.outgoing).any(|m| m.id == id)
+    }
+
+    /// Everybody who receives the log, each once.
+    pub fn all(&self) -> Vec<&Member> {
+        let mut seen = BTreeSet::new();
+        let everybody = self.voters.iter().chain(&self.learners).chain(&self.outgoing);
+        everybody.filter(|m| seen.insert(m.id)).collect()
+    }
+
+    /// A member by its identity.
+    pub fn get(&self, id: u64) -> Option<&Member> {
+        self.voters.iter().chain(&self.learners).chain(&self.outgoing).find(|m| m.id == id)
+    }
+}
+
+/// A place in the log. Invariant: two logs with an entry of the same position agree up to it.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct LogPosition {
+    /// Compared first: the log that ends in the later term is the newer one.
+    pub term: u64,
+    /// Counts from 1; 0 is before the first entry.
+    pub index: u64,
+}
+
+/// What an entry of the log says.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Body {
+    /// Nothing; the first entry of each term.
     Noop,
-    Members(Vec<Member>),
+    /// The membership from this entry on, committed or not.
+    Membership(Membership),
+    /// An encoded `Change`.
     Command(ByteBuf),
 }
 
+impl Body {
+    /// Bytes on the wire, roughly.
+    pub fn size(&self) -> usize {
+        const FRAME: usize = 64;
+        match self {
+            Body::Noop => FRAME,
+            Body::Membership(m) => FRAME * (1 + m.all().len()),
+            Body::Command(c) => FRAME + c.len(),
+        }
+    }
+}
+
+/// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
+    /// Its place.
     pub index: u64,
+    /// The term of the leader that placed it.
     pub term: u64,
+    /// What it says.
     pub body: Body,
 }
 
+impl Entry {
+    /// Where it stands.
+    pub fn position(&self) -> LogPosition {
+        LogPosition { term: self.term, index: self.index }
+    }
+}
+
+/// The state after all entries up to a place.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct Snapshot {
+    /// The last entry that it contains.
     pub index: u64,
+    /// That entry's term.
     pub term: u64,
-    pub members: Vec<Member>,
+    /// The newest membership at `index`.
+    pub membership: Membership,
+    /// The encoded state.
+    pub data: ByteBuf,
+}
+
+impl Snapshot {
+    /// Where its last entry stands.
+    pub fn position(&self) -> LogPosition {
+        LogPosition { term: self.term, index: self.index }
+    }
+}
+
+/// A piece of a snapshot on its way to a follower.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct SnapshotChunk {
+    /// Which snapshot.
+    pub snapshot: LogPosition,
+    /// The membership in it.
+    pub membership: Membership,
+    /// Where `data` begins.
+    pub offset: u64,
+    /// Bytes of the whole snapshot.
+    pub total: u64,
+    /// The piece.
     pub data: ByteBuf,
 }
 
-/// Agreement messages. `round` numbers a leader's rounds of contact: an answer to round r shows that
-/// the sender was still followed when r was sent.
+/// Consensus messages. `round` numbers a leader's rounds of contact: an answer to round r shows that
+/// the sender still followed when r was sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Msg {
-    PreVote { term: u64, last: u64, last_term: u64 },
-    PreVoteReply { term: u64, granted: bool },
-    Vote { term: u64, last: u64, last_term: u64, forced: bool },
-    VoteReply { term: u64, granted: bool },
-    Append { term: u64, prev: u64, prev_term: u64, entries: Vec<Entry>, commit: u64, round: u64 },
-    AppendReply { term: u64, ok: bool, matched: u64, round: u64 },
-    Install { term: u64, snap: Snapshot, round: u64 },
-    TakeLead { term: u64 },
+    /// Would a vote in `term` be granted? Changes nothing at the one who is asked.
+    PreVote {
+        /// The term that an election would have.
+        term: u64,
+        /// The end of the asker's log.
+        last: LogPosition,
+    },
+    /// The answer to `PreVote`.
+    PreVoteReply {
+        /// The answering cell's own term.
+        term: u64,
+        /// Whether it would vote for the asker.
+        granted: bool,
+    },
+    /// A candidate asks for a vote.
+    Vote {
+        /// The candidate's term.
+        term: u64,
+        /// The end of its log.
+        last: LogPosition,
+        /// The leader named it: cells that hear that leader vote all the same.
+        forced: bool,
+    },
+    /// The answer to `Vote`.
+    VoteReply {
+        /// The voter's term.
+        term: u64,
+        /// Whether it gave its vote.
+        granted: bool,
+    },
+    /// A leader's round of contact. Never waits behind entries or snapshots.
+    Heartbeat {
+        /// The leader's term.
+        term: u64,
+        /// Committed as far as the follower is known to hold it.
+        commit: u64,
+        /// The round.
+        round: u64,
+    },
+    /// The answer to `Heartbeat`.
+    HeartbeatReply {
+        /// The follower's term.
+        term: u64,
+        /// The round that is answered.
+        round: u64,
+    },
+    /// Entries after `prev`.
+    Append {
+        /// The leader's term.
+        term: u64,
+        /// The entry before the first one.
+        prev: LogPosition,
+        /// Without a gap.
+        entries: Vec<Entry>,
+        /// The leader's commit.
+        commit: u64,
+    },
+    /// The answer to `Append`, and to a snapshot that is whole.
+    AppendReply {
+        /// The follower's term.
+        term: u64,
+        /// Whether the entries fit.
+        ok: bool,
+        /// The log is the leader's up to here; where `ok` is false, the place to try next.
+        matched: u64,
+    },
+    /// A piece of the snapshot.
+    Chunk {
+        /// The leader's term.
+        term: u64,
+        /// The piece.
+        chunk: SnapshotChunk,
+    },
+    /// The answer to `Chunk`.
+    ChunkReply {
+        /// The follower's term.
+        term: u64,
+        /// Which snapshot.
+        snapshot: LogPosition,
+        /// Which piece is answered.
+        offset: u64,
+        /// Bytes held from the start without a gap.
+        received: u64,
+    },
+    /// The leader names its successor.
+    TakeLead {
+        /// The leader's term.
+        term: u64,
+    },
+}
+
+/// Messages larger than this go over the bulk connection.
+const BULK_BYTES: usize = 64 << 10;
+
+impl Msg {
+    /// Whether it belongs on a connection of its own, so that heartbeats don't wait behind it.
+    pub fn is_bulk(&self) -> bool {
+        match self {
+            Msg::Chunk { .. } => true,
+            Msg::Append { entries, .. } => {
+                entries.iter().map(|e| e.body.size()).sum::<usize>() > BULK_BYTES
+            }
+            _ => false,
+        }
+    }
 }
 
 /// A change the cells agree on.
@@ -82,8 +293,15 @@
         addr: String,
         msg: Msg,
     },
+    /// A cell that will join asks for the newest agreed index, confirmed by a majority.
+    ReadIndex,
+    /// A cell asks to be taken in.
     Join {
+        /// Who it is; the entry that takes it in makes its incarnation.
         member: Member,
+        /// What `ReadIndex` was answered in this life: a request made before another life of the same
+        /// machine was taken in is of an older life.
+        read_at: u64,
     },
     /// A cell ends in order: its zones go to others.
     Leave {
