--- /dev/null
+++ b/crates/agreement/tests/contact.rs
@@ -0,0 +1,191 @@
+//! Contact with a majority: counted from the sending of the round that was answered, and what a cell
+//! without it does.
+mod model;
+
+use agreement::core::Event;
+use agreement::prelude::*;
+use model::*;
+
+fn led(ids: &[u64]) -> (World, u64) {
+    let mut w = World::new(ids);
+    w.settle();
+    let leader = w.leader().unwrap();
+    (w, leader)
+}
+
+/// The answers to a round are held up for almost the whole bound: the contact is as old as the round.
+#[test]
+fn contact_counts_from_the_sending_of_the_round() {
+    let (mut w, leader) = led(&[1, 2, 3]);
+    w.flight.clear();
+    let beat = w.node(leader).next_tick();
+    w.now = beat;
+    w.step(leader, Event::Tick);
+    let sent = w.now;
+    for id in (1..=3).filter(|id| *id != leader) {
+        while let Some(at) = w.flight.iter().position(|f| f.to == id) {
+            w.deliver(at, false);
+        }
+    }
+    w.now = sent + w.tuning.contact_bound() - Duration::from_millis(1);
+    w.deliver_all();
+    assert_eq!(w.node(leader).last_contact(), Some(sent));
+    let end = sent + w.tuning.contact_bound();
+    assert!(w.node(leader).ready_to_serve(end));
+    assert!(!w.node(leader).ready_to_serve(end + Duration::from_millis(1)));
+}
+
+#[test]
+fn a_cut_leader_steps_down_after_the_bound_and_confirms_nothing() {
+    let (mut w, leader) = led(&[1, 2, 3]);
+    let last = w.node(leader).last_contact().unwrap();
+    w.isolate(leader);
+    let token = w.read(leader);
+    w.deliver_all();
+    w.now = last + w.tuning.contact_bound();
+    w.step(leader, Event::Tick);
+    assert!(w.node(leader).leads());
+    w.now += Duration::from_millis(1);
+    assert!(!w.node(leader).ready_to_serve(w.now));
+    w.step(leader, Event::Tick);
+    assert!(!w.node(leader).leads());
+    assert_eq!(w.confirmed.get(&token), Some(&None));
+}
+
+/// Its messages don't get out, all others come in.
+#[test]
+fn a_leader_that_hears_and_is_not_heard_gives_way() {
+    let (mut w, leader) = led(&[1, 2, 3]);
+    w.silence(leader);
+    let token = w.read(leader);
+    w.run(SETTLE_STEPS / 2);
+    assert!(!w.node(leader).leads());
+    assert_eq!(w.confirmed.get(&token), Some(&None));
+    let next = w.leader().unwrap();
+    assert_ne!(next, leader);
+    assert!(w.node(next).ready_to_serve(w.now));
+    assert_eq!(w.node(leader).leader, Some(next), "it hears the new one");
+}
+
+/// It is heard, and hears nothing: the others would wait for it for ever if it didn't give way.
+#[test]
+fn a_leader_that_is_heard_and_hears_nothing_gives_way() {
+    let (mut w, leader) = led(&[1, 2, 3]);
+    w.deafen(leader);
+    w.run(SETTLE_STEPS / 2);
+    assert!(!w.node(leader).leads());
+    let next = w.leader().unwrap();
+    let term = w.node(next).hard.term;
+    w.run(SETTLE_STEPS);
+    assert_eq!(w.leader(), Some(next), "it disturbs nobody while it hears nothing");
+    assert_eq!(w.node(next).hard.term, term);
+}
+
+/// A leader with a majority refuses pre-votes and ignores votes, whoever asks; one that was named by it
+/// is voted for.
+#[test]
+fn a_leader_in_contact_keeps_its_term() {
+    let (mut w, leader) = led(&[1, 2, 3]);
+    let term = w.node(leader).hard.term;
+    let last = LogPosition { term: term + 5, index: 1000 };
+    for from in [2, 99] {
+        let vote = Msg::Vote { term: term + 5, last, forced: false };
+        let pre_vote = Msg::PreVote { term: term + 5, last };
+        for id in 1..=3 {
+            w.step(id, Event::Received { from, msg: vote.clone() });
+            w.step(id, Event::Received { from, msg: pre_vote.clone() });
+        }
+    }
+    assert!(w.node(leader).leads());
+    assert!((1..=3).all(|id| w.node(id).hard.term == term));
+    let granted = w.flight.iter().any(|f| matches!(f.msg, Msg::PreVoteReply { granted: true, .. }));
+    assert!(!granted);
+}
+
+/// Nothing disturbs a leader in contact: not a late order to take the lead, and not one from others.
+#[test]
+fn only_the_leader_of_this_term_names_a_successor() {
+    let (mut w, leader) = led(&[1, 2, 3]);
+    let term = w.node(leader).hard.term;
+    let other = (1..=3).find(|id| *id != leader).unwrap();
+    for (from, named) in [(leader, term - 1), (99, term), (other, term)] {
+        w.step(other, Event::Received { from, msg: Msg::TakeLead { term: named } });
+    }
+    w.deliver_all();
+    assert!(w.node(leader).leads());
+}
+
+/// Asking for pre-votes, a follower changes no term; hearing its leader again, it follows on.
+#[test]
+fn a_follower_that_was_cut_comes_back_without_a_new_term() {
+    let (mut w, leader) = led(&[1, 2, 3]);
+    let term = w.node(leader).hard.term;
+    let cut = (1..=3).find(|id| *id != leader).unwrap();
+    for _ in 0..3 {
+        w.isolate(cut);
+        w.run(SETTLE_STEPS);
+        w.settle();
+    }
+    assert_eq!(w.leader(), Some(leader));
+    assert_eq!(w.node(leader).hard.term, term);
+}
+
+/// It leads, and knows nothing yet of what the term before agreed on.
+#[test]
+fn a_new_leader_serves_only_after_the_first_entry_of_its_term() {
+    let (mut w, old) = led(&[1, 2, 3]);
+    w.propose(command(1));
+    // Everybody holds the entry, the leader alone knows that it is agreed on.
+    let appends = w.flight.drain(..).collect::<Vec<_>>();
+    for f in appends {
+        w.step(f.to, Event::Received { from: f.from, msg: f.msg });
+    }
+    let replies = w.flight.drain(..).collect::<Vec<_>>();
+    for f in replies {
+        w.step(f.to, Event::Received { from: f.from, msg: f.msg });
+    }
+    w.flight.clear();
+    w.isolate(old);
+    let mut early = 0;
+    for _ in 0..SETTLE_STEPS {
+        w.now += Duration::from_millis(20);
+        w.tick_all();
+        while !w.flight.is_empty() {
+            w.deliver(0, false);
+            if let Some(new) = w.leader().filter(|l| *l != old) {
+                let holds = w.nodes[&new].applied.contains(&command(1));
+                if !holds {
+                    assert!(!w.node(new).ready_to_serve(w.now));
+                    early += 1;
+                }
+            }
+        }
+    }
+    assert!(early > 0, "the new leader was seen before it had applied everything");
+    let new = w.leader().unwrap();
+    assert!(w.node(new).ready_to_serve(w.now));
+}
+
+/// Both sides of a cut restart: one leader a term, and what was confirmed stays.
+#[test]
+fn both_sides_of_a_cut_restart() {
+    let (mut w, leader) = led(&[1, 2, 3, 4, 5]);
+    w.propose(command(7));
+    w.run(3);
+    let beside = (1..=5).find(|id| *id != leader).unwrap();
+    w.split(&[leader, beside]);
+    w.propose(command(8));
+    for id in 1..=5 {
+        w.crash(id);
+    }
+    w.run(SETTLE_STEPS);
+    let new = w.leader().unwrap();
+    assert!(new != leader && new != beside);
+    for id in 1..=5 {
+        w.crash(id);
+    }
+    w.settle();
+    w.assert_agreed();
+    assert!(w.agreed.values().any(|(_, body)| *body == command(7)));
+    assert!(!w.agreed.values().any(|(_, body)| *body == command(8)));
+}
