--- a/crates/control-cell/src/actor/calls.rs
+++ b/crates/control-cell/src/actor/calls.rs
@@ -20,10 +20,9 @@
             CellCall::Trial { ask } if leads => {
                 return self.confirm_for(Reader::Trial { ask, waiting });
             }
-            CellCall::Join { member } if leads => {
-                if !self.driver.members().contains(&member) {
-                    self.members.joins(member);
-                }
+            CellCall::ReadIndex if leads => return self.confirm_for(Reader::Index(waiting)),
+            CellCall::Join { member, read_at } if leads => {
+                self.members.joins(JoinRequest { member, read_at });
                 waiting.answer(CellReply::Done);
             }
             CellCall::Announce { status } if leads => {
@@ -33,6 +32,7 @@
             CellCall::Propose { .. }
             | CellCall::Retire { .. }
             | CellCall::Trial { .. }
+            | CellCall::ReadIndex
             | CellCall::Join { .. } => self.forward(call, waiting),
             CellCall::Confirm | CellCall::Announce { .. } | CellCall::Within { .. } => {
                 waiting.answer(CellReply::Unable);
--- a/crates/control-cell/src/orders/desk.rs
+++ b/crates/control-cell/src/orders/desk.rs
@@ -139,7 +139,7 @@
                 }
                 outcome = Some(came_to);
             }
-            Body::Members(_) => events.push(DeskEvent::Members(index)),
+            Body::Membership(_) => events.push(DeskEvent::Members(index)),
             Body::Noop => {}
         }
         self.applied = index;
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -1,12 +1,15 @@
 //! The one module every file of this package imports.
 pub use crate::actor::{CellCommand, CellHandle, Waiting, Wants};
-pub use crate::duties::{next_holders, next_members, next_stores, StoreObservation};
+pub use crate::duties::{
+    next_holders, next_membership, next_stores, CorePolicy, JoinRequest, MemberObservation,
+    StoreObservation,
+};
 pub use crate::orders::{ChangedPart, DeskEvent, OrderDesk, UnreadableState};
 pub use crate::state::{order_digest, CellState, ConfirmedOrders};
 pub use agreement::prelude::{AgreementDisk, ConsensusNode, Effect, Event, HardState, Tuning};
 pub use inner_protocol::cells::{
-    Body, BodyDigest, CellCall, CellReply, CellTold, Change, Entry, Member, Msg, Outcome,
-    RetireState, Snapshot, TrialAsk, TrialTold,
+    Body, BodyDigest, CellCall, CellReply, CellTold, Change, Entry, LogPosition, Member,
+    Membership, Msg, Outcome, RetireState, Snapshot, TrialAsk, TrialTold,
 };
 pub use inner_protocol::feed::{
     EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics, ZoneTable,
--- a/crates/control-cell/tests/history_model/cells.rs
+++ b/crates/control-cell/tests/history_model/cells.rs
@@ -81,9 +81,10 @@
         name: String::new(),
         addr: String::new(),
         zone: String::new(),
+        incarnation: 0,
     };
-    let members = ids.iter().map(member).collect();
-    TermLog { snap: Snapshot { members, ..Snapshot::default() }, entries: Vec::new() }
+    let membership = Membership::of_voters(ids.iter().map(member).collect());
+    TermLog::new(Snapshot { membership, ..Snapshot::default() }, Vec::new())
 }
 
 impl Cell {
@@ -134,7 +135,7 @@
             }
             Effect::SaveSnapshot(s) => {
                 let entries = self.node.log.entries.clone();
-                self.disk = TermLog { snap: s.clone(), entries };
+                self.disk = TermLog::new(s.clone(), entries);
             }
             _ => {}
         }
