--- /dev/null
+++ b/crates/spokebank/tests/support/mod.rs
@@ -0,0 +1,234 @@
+//! Real processes of the built binary on loopback, each with a settings file of its own.
+use nix::sys::signal::{kill, Signal};
+use nix::unistd::Pid;
+use stand_ins::prelude::*;
+use std::process::{Child, Command, Stdio};
+
+/// Ports of one test: sixteen in a row that nobody uses, the first eight between the system's processes.
+const PORTS_IN_A_ROW: u16 = 16;
+const FRONT_PORT: u16 = 8;
+const READINESS_PORT: u16 = 9;
+const CONTROL_PORT: u16 = 10;
+
+/// Where the processes of one test live.
+pub struct Net {
+    pub dir: PathBuf,
+    first_port: u16,
+    subnet: String,
+}
+
+impl Net {
+    /// A folder, a part of loopback and free ports, so that tests that run at once don't meet.
+    pub fn new(name: &str) -> Self {
+        let dir = std::env::temp_dir().join(format!("spokebank-{name}-{}", std::process::id()));
+        let _ = std::fs::remove_dir_all(&dir);
+        std::fs::create_dir_all(&dir).unwrap();
+        let subnet = format!("127.{}.{}", fastrand::u8(20..250), fastrand::u8(1..250));
+        Net { dir, first_port: free_ports(), subnet }
+    }
+
+    pub fn ip(&self, host: u8) -> String {
+        format!("{}.{host}", self.subnet)
+    }
+
+    fn at(&self, host: u8, offset: u16) -> String {
+        format!("{}:{}", self.ip(host), self.first_port + offset)
+    }
+
+    pub fn front(&self, host: u8) -> String {
+        self.at(host, FRONT_PORT)
+    }
+
+    pub fn readiness(&self, host: u8) -> String {
+        self.at(host, READINESS_PORT)
+    }
+
+    pub fn control(&self, host: u8) -> String {
+        self.at(host, CONTROL_PORT)
+    }
+
+    /// The address of one of the ports between the system's processes.
+    pub fn inner(&self, host: u8, offset: u16) -> String {
+        self.at(host, offset)
+    }
+
+    /// The port on which an agent feeds its proxy.
+    pub fn agent(&self) -> String {
+        format!("127.0.0.1:{}", self.first_port + node_base::settings::AGENT_PORT)
+    }
+
+    /// Settings of a machine.
+    pub fn settings(&self, name: &str, class: &str, host: u8, zone: &str) -> FileOf {
+        let mut listen = String::new();
+        match class {
+            "front" => {
+                let (front, readiness) = (self.front(host), self.readiness(host));
+                listen = format!("front = \"{front}\"\nreadiness = \"{readiness}\"\n");
+            }
+            "core" => listen = format!("control = \"{}\"\n", self.control(host)),
+            _ => {}
+        }
+        FileOf {
+            name: name.into(),
+            class: class.into(),
+            ip: self.ip(host),
+            zone: zone.into(),
+            ports: (self.first_port, self.first_port + PORTS_IN_A_ROW - 1),
+            seeds: vec![self.control(1)],
+            first_start: true,
+            data: self.dir.join(name),
+            listen,
+            drain_ms: 3000,
+            cloud: self.at(99, 0),
+        }
+    }
+
+    /// Starts one of the programs on these settings.
+    pub fn start(&self, program: &str, settings: FileOf) -> Node {
+        let file = self.dir.join(format!("{program}-{}.toml", settings.name));
+        let log = file.with_extension("log");
+        std::fs::write(&file, settings.text()).unwrap();
+        let child = Command::new(env!("CARGO_BIN_EXE_spokebank"))
+            .args(["--log-level", "info", program])
+            .env("SPOKEBANK_NODE_FILE", &file)
+            .stdin(Stdio::null())
+            .stderr(std::fs::File::create(&log).unwrap())
+            .spawn()
+            .unwrap();
+        Node { child, file, log, settings }
+    }
+}
+
+impl Drop for Net {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.dir);
+    }
+}
+
+/// The first of a row of ports that are free on all of loopback, found by binding each. They lie below
+/// the ports that the system gives to outgoing connections, so that none of these takes one meanwhile.
+fn free_ports() -> u16 {
+    loop {
+        let first = fastrand::u16(12_000..32_000);
+        let free = |port| std::net::TcpListener::bind(("0.0.0.0", port)).is_ok();
+        if (first..first + PORTS_IN_A_ROW).all(free) {
+            return first;
+        }
+    }
+}
+
+/// A settings file's fields, as far as these tests change them.
+#[derive(Clone)]
+pub struct FileOf {
+    pub name: String,
+    class: String,
+    ip: String,
+    zone: String,
+    ports: (u16, u16),
+    pub seeds: Vec<String>,
+    pub first_start: bool,
+    data: PathBuf,
+    listen: String,
+    pub drain_ms: u32,
+    pub cloud: String,
+}
+
+impl FileOf {
+    pub fn text(&self) -> String {
+        format!(
+            "nodeName = \"{}\"\nmachineClass = \"{}\"\nipAddress = \"{}\"\nzone = \"{}\"\n\
+             internalPortRange = [{}, {}]\nseedAddresses = {:?}\nfirstStart = {}\n\
+             dataDirectory = \"{}\"\n[zones]\na = \"r\"\nb = \"r\"\nc = \"r\"\n\
+             [listenAddresses]\n{}[limits]\nmemoryMb = 256\nfileDescriptors = 2000\ndiskMb = 64\n\
+             [bounds]\ndrainMs = {}\n[cloudApi]\naddress = \"{}\"\nratePerS = 40.0\nlagMs = 10\n",
+            self.name,
+            self.class,
+            self.ip,
+            self.zone,
+            self.ports.0,
+            self.ports.1,
+            self.seeds,
+            self.first_start,
+            self.data.display(),
+            self.listen,
+            self.drain_ms,
+            self.cloud,
+        )
+    }
+}
+
+/// One process. Dropped, it is killed.
+pub struct Node {
+    child: Child,
+    pub file: PathBuf,
+    log: PathBuf,
+    pub settings: FileOf,
+}
+
+impl Node {
+    pub fn signal(&self, signal: Signal) {
+        kill(Pid::from_raw(self.child.id() as i32), signal).unwrap();
+    }
+
+    pub fn hang_up(&self) {
+        self.signal(Signal::SIGHUP);
+    }
+
+    /// Changes the file as a whole, in one step.
+    pub fn rewrite(&mut self, change: impl FnOnce(&mut FileOf)) {
+        change(&mut self.settings);
+        let aside = self.file.with_extension("new");
+        std::fs::write(&aside, self.settings.text()).unwrap();
+        std::fs::rename(&aside, &self.file).unwrap();
+    }
+
+    pub fn kill(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+
+    /// The very process that was started still runs.
+    pub fn runs(&mut self) -> bool {
+        matches!(self.child.try_wait(), Ok(None))
+    }
+
+    fn lines(&self) -> Vec<serde_json::Value> {
+        let text = std::fs::read_to_string(&self.log).unwrap_or_default();
+        text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect()
+    }
+
+    /// How many JSON log lines say this of this field, with the file's name in them.
+    pub fn said(&self, what: &str, field: &str) -> usize {
+        let file = self.file.display().to_string();
+        let tells = |l: &serde_json::Value| {
+            l["payload"] == what && l["kv"]["field"] == field && l["kv"]["file"] == *file
+        };
+        self.lines().iter().filter(|l| tells(l)).count()
+    }
+
+    /// The reason of the newest refusal.
+    pub fn reason(&self) -> String {
+        let lines = self.lines();
+        let last = lines.iter().rev().find(|l| l["payload"] == REFUSED);
+        last.and_then(|l| l["kv"]["reason"].as_str()).unwrap_or_default().to_string()
+    }
+}
+
+impl Drop for Node {
+    fn drop(&mut self) {
+        self.kill();
+    }
+}
+
+pub const REFUSED: &str = "settings refused, the old ones stay in force";
+pub const TAKEN: &str = "settings field taken";
+pub const NEEDS_RESTART: &str = "settings field needs a restart";
+
+/// Asks again until the answer is as wanted.
+pub async fn until(what: &str, mut ok: impl AsyncFnMut() -> bool) {
+    let end = Instant::now() + Duration::from_secs(40);
+    while !ok().await {
+        assert!(Instant::now() < end, "not in time: {what}");
+        tokio::time::sleep(Duration::from_millis(10)).await;
+    }
+}
