--- a/crates/spokebank/tests/settings_reload.rs
+++ b/crates/spokebank/tests/settings_reload.rs
@@ -7,11 +7,21 @@
 use nix::sys::signal::Signal;
 use node_base::settings::{CELL_PORT, STORE_PORT};
 use stand_ins::prelude::*;
+use std::io::Write;
 use support::{until, Net, Node, NEEDS_RESTART, REFUSED, TAKEN};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 const PROXY: u8 = 30;
 
+/// Each program, with the class and the host number of its machine, and where it listens once started.
+type Program = (&'static str, &'static str, u8, fn(&Net) -> String);
+const PROGRAMS: [Program; 4] = [
+    ("control-cell", "core", 1, |net| net.inner(1, CELL_PORT)),
+    ("turn-store", "storage", 10, |net| net.inner(10, STORE_PORT)),
+    ("feed-agent", "front", PROXY, |net| net.agent()),
+    ("request-proxy", "front", PROXY, |net| net.readiness(PROXY)),
+];
+
 fn config(version: u64, extra: bool) -> String {
     let mut routes = vec![
         serde_json::json!({"name": "turns", "hostName": "h.example", "pathPrefix": "/t/",
@@ -165,12 +175,8 @@
 #[tokio::test]
 async fn faulty_files_are_refused_and_a_mended_one_is_noticed() {
     let net = Net::new("refused");
-    for (program, class, host, at) in [
-        ("control-cell", "core", 1, net.inner(1, CELL_PORT)),
-        ("turn-store", "storage", 10, net.inner(10, STORE_PORT)),
-        ("feed-agent", "front", PROXY, net.agent()),
-        ("request-proxy", "front", PROXY, net.readiness(PROXY)),
-    ] {
+    for (program, class, host, at) in PROGRAMS {
+        let at = at(&net);
         let mut node = net.start(program, net.settings("n-1", class, host, "a"));
         until("a start", async || listens(&at).await).await;
         let good = node.settings.text();
@@ -204,6 +210,24 @@
     }
 }
 
+/// A signal that comes while a process is still at the start, reading its settings, doesn't end it.
+#[tokio::test]
+async fn a_hangup_during_a_slow_start_ends_nothing() {
+    let net = Net::new("slow-start");
+    for (program, class, host, at) in PROGRAMS {
+        let settings = net.settings("n-1", class, host, "a");
+        let text = settings.text();
+        let (mut node, mut pipe) = net.start_waiting(program, settings);
+        node.hang_up();
+        pipe.write_all(text.as_bytes()).unwrap();
+        drop(pipe);
+        until("a start", async || listens(&at(&net)).await).await;
+        node.rewrite(|s| s.drain_ms = 3100);
+        until("new settings", async || node.said(TAKEN, "bounds.drainMs") == 1).await;
+        assert!(node.runs(), "{program}");
+    }
+}
+
 async fn told(net: &Net, host: u8) -> Option<CellTold> {
     let cell = Caller::new(net.inner(host, CELL_PORT));
     match cell.call(&CellCall::Tell, Duration::from_secs(1)).await {
--- a/crates/spokebank/tests/support/mod.rs
+++ b/crates/spokebank/tests/support/mod.rs
@@ -83,11 +83,31 @@
         }
     }
 
+    fn file(&self, program: &str, settings: &FileOf) -> PathBuf {
+        self.dir.join(format!("{program}-{}.toml", settings.name))
+    }
+
     /// Starts one of the programs on these settings.
     pub fn start(&self, program: &str, settings: FileOf) -> Node {
-        let file = self.dir.join(format!("{program}-{}.toml", settings.name));
+        std::fs::write(self.file(program, &settings), settings.text()).unwrap();
+        self.spawn(program, settings)
+    }
+
+    /// Starts one of the programs, which waits in its start for its settings until the pipe that is
+    /// given back is written and closed. By then an ordinary file stands in the pipe's place.
+    pub fn start_waiting(&self, program: &str, settings: FileOf) -> (Node, std::fs::File) {
+        let file = self.file(program, &settings);
+        nix::unistd::mkfifo(&file, nix::sys::stat::Mode::S_IRWXU).unwrap();
+        let mut node = self.spawn(program, settings);
+        // Opened only once the process reads at the other end.
+        let pipe = std::fs::OpenOptions::new().write(true).open(&file).unwrap();
+        node.rewrite(|_| ());
+        (node, pipe)
+    }
+
+    fn spawn(&self, program: &str, settings: FileOf) -> Node {
+        let file = self.file(program, &settings);
         let log = file.with_extension("log");
-        std::fs::write(&file, settings.text()).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_spokebank"))
             .args(["--log-level", "info", program])
             .env("SPOKEBANK_NODE_FILE", &file)
