--- a/crates/feed-agent/src/keep/mod.rs
+++ b/crates/feed-agent/src/keep/mod.rs
@@ -1,6 +1,7 @@
 //! The owner of the agent's view.
 use crate::prelude::*;
 
+/// A proxy asks to be fed: the answer is its items and the number of the feed.
 pub type Opened = oneshot::Sender<(mpsc::Receiver<Vec<Numbered>>, u64)>;
 
 /// Lives of the proxy whose last report is kept.
@@ -9,17 +10,27 @@
 /// Invariants: numbers grow by one an item; a proxy that doesn't keep up is let go and begins anew;
 /// `reports` are of the trial that runs, the newest of each life, oldest life first.
 pub struct Keeper {
+    /// The newest of everything that the cells told.
     pub view: FeedView,
+    /// The number of the newest item.
     pub no: u64,
+    /// The proxies that are fed: one, and for a moment the one before it.
     pub proxies: Vec<mpsc::Sender<Vec<Numbered>>>,
+    /// What the proxies of this machine have counted.
     pub reports: Vec<NodeReport>,
-    word: watch::Sender<Option<Vec<NodeReport>>>,
+    outgoing: watch::Sender<Option<Vec<NodeReport>>>,
 }
 
 impl Keeper {
-    /// `word` is what the cell is told.
-    pub fn new(word: watch::Sender<Option<Vec<NodeReport>>>) -> Self {
-        Keeper { view: FeedView::default(), no: 0, proxies: Vec::new(), reports: Vec::new(), word }
+    /// `outgoing` is what the cell is sent.
+    pub fn new(outgoing: watch::Sender<Option<Vec<NodeReport>>>) -> Self {
+        Keeper {
+            view: FeedView::default(),
+            no: 0,
+            proxies: Vec::new(),
+            reports: Vec::new(),
+            outgoing,
+        }
     }
 
     /// A proxy's report. Nothing is told while no trial runs.
@@ -32,28 +43,29 @@
         if self.reports.len() > MOST_REPORTS {
             self.reports.remove(0);
         }
-        self.tell();
+        self.publish_reports();
     }
 
-    fn tell(&mut self) {
+    fn publish_reports(&mut self) {
         let running =
-            self.view.trial.as_ref().filter(|(_, t)| t.is_running()).map(|(_, t)| t.key());
+            self.view.trial.as_ref().filter(|t| t.record.is_running()).map(|t| t.record.key());
         self.reports.retain(|r| Some(r.key) == running);
-        let word = (!self.reports.is_empty()).then(|| self.reports.clone());
-        self.word.send_if_modified(|w| {
-            let other = *w != word;
-            *w = word;
+        let reports = (!self.reports.is_empty()).then(|| self.reports.clone());
+        self.outgoing.send_if_modified(|sent| {
+            let other = *sent != reports;
+            *sent = reports;
             other
         });
     }
 
+    /// Takes what the cells told and feeds the proxies with what is new of it.
     pub fn take(&mut self, items: Vec<FeedItem>) {
         for item in items {
             if !self.view.take(&item) {
                 continue;
             }
             if matches!(item, FeedItem::Trial { .. }) {
-                self.tell();
+                self.publish_reports();
             }
             self.no += 1;
             let n = Numbered { no: self.no, item };
@@ -61,6 +73,7 @@
         }
     }
 
+    /// Feeds one more proxy, from a snapshot on.
     pub fn open(&mut self) -> mpsc::Receiver<Vec<Numbered>> {
         let (tx, rx) = mpsc::channel(256);
         let mut items = self.view.snapshot();
@@ -81,7 +94,7 @@
     mut k: Keeper,
     mut news: mpsc::Receiver<News>,
     mut opens: mpsc::Receiver<Opened>,
-    mut told: mpsc::Receiver<NodeReport>,
+    mut reports: mpsc::Receiver<NodeReport>,
     mut leaving: watch::Receiver<bool>,
 ) {
     loop {
@@ -104,7 +117,7 @@
                 Some(News::Down) => {}
                 None => return,
             },
-            r = told.recv() => match r {
+            r = reports.recv() => match r {
                 Some(r) => k.count(r),
                 None => return,
             },
--- a/crates/feed-agent/src/lib.rs
+++ b/crates/feed-agent/src/lib.rs
@@ -1,4 +1,6 @@
 //! The agent beside a proxy: keeps the link to the cells and feeds the proxy over loopback.
+#![deny(missing_docs)]
+
 pub mod keep;
 pub mod prelude;
 pub mod serve;
@@ -6,7 +8,7 @@
 use crate::prelude::*;
 
 /// Outcomes go on as they come, about once a second; this often when none come.
-const WORD_REPEAT: Duration = Duration::from_secs(10);
+const REPORT_REPEAT: Duration = Duration::from_secs(10);
 
 /// Runs an agent until it is told to end and its proxy has gone.
 pub async fn run_agent(settings: impl Into<SharedSettings>) -> NodeResult<()> {
@@ -16,12 +18,13 @@
     let listener =
         TcpListener::bind(&addr).await.map_err(|e| NodeError::Io { what: addr, source: e })?;
     let (tx, rx) = mpsc::channel(256);
-    let (word, words) = watch::channel(None);
-    let follow = FollowSettings { repeat: WORD_REPEAT, ..FollowSettings::of_cells_whole(&shared) };
-    tokio::spawn(follow_cells(follow, tx, words));
+    let (outgoing, outgoing_seen) = watch::channel(None);
+    let follow =
+        FollowSettings { repeat: REPORT_REPEAT, ..FollowSettings::of_cells_whole(&shared) };
+    tokio::spawn(follow_cells(follow, tx, outgoing_seen));
     let (open, opens) = mpsc::channel(16);
-    let (told, reports) = mpsc::channel(16);
-    tokio::spawn(serve::serve_proxy(listener, open, told));
+    let (counted, reports) = mpsc::channel(16);
+    tokio::spawn(serve::serve_proxy(listener, open, counted));
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|e| NodeError::Io { what: "SIGTERM".into(), source: e })?;
     let (leave, leaving) = watch::channel(false);
@@ -33,6 +36,6 @@
         let _ = leave.send(true);
         tokio::time::sleep(shared.now().bounds.grace).await;
     });
-    keep::keep(Keeper::new(word), rx, opens, reports, leaving).await;
+    keep::keep(Keeper::new(outgoing), rx, opens, reports, leaving).await;
     Ok(())
 }
--- a/crates/feed-agent/src/serve/mod.rs
+++ b/crates/feed-agent/src/serve/mod.rs
@@ -2,13 +2,14 @@
 use crate::prelude::*;
 use node_base::links::{frame_stream, serve_streams};
 
+/// Feeds every proxy that connects, and gives on what it reports.
 pub async fn serve_proxy(
     listener: TcpListener,
     open: mpsc::Sender<Opened>,
-    told: mpsc::Sender<NodeReport>,
+    reports: mpsc::Sender<NodeReport>,
 ) {
     serve_streams(listener, move |s| {
-        tokio::spawn(serve_one(s, open.clone(), told.clone()));
+        tokio::spawn(serve_one(s, open.clone(), reports.clone()));
     })
     .await
 }
@@ -16,7 +17,7 @@
 async fn serve_one(
     s: TcpStream,
     open: mpsc::Sender<Opened>,
-    told: mpsc::Sender<NodeReport>,
+    reports: mpsc::Sender<NodeReport>,
 ) -> Option<()> {
     let mut wire = frame_stream(s);
     let first = wire.next().await?.ok()?;
@@ -31,9 +32,9 @@
         tokio::select! {
             got = items.recv() => wire.send(encode(&FeedMsg::Items(got?))).await.ok()?,
             got = wire.next() => {
-                if let Some(FollowMsg::Outcomes { reports }) = decode(&got?.ok()?) {
-                    for r in reports {
-                        told.send(r).await.ok()?;
+                if let Some(FollowMsg::Outcomes { reports: counted }) = decode(&got?.ok()?) {
+                    for r in counted {
+                        reports.send(r).await.ok()?;
                     }
                 }
             }
--- a/crates/feed-follow/src/link/machine.rs
+++ b/crates/feed-follow/src/link/machine.rs
@@ -1,14 +1,20 @@
 //! The states of a follower's link, as a statig machine.
 use crate::prelude::*;
 
+/// What happens to a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FeedEvent {
+    /// A cell is about to be called.
     Try,
+    /// The connection stands.
     Linked,
+    /// The cell says that a majority has confirmed what it told.
     Current,
+    /// The connection has ended.
     Lost,
 }
 
+/// The machine of one follower's link.
 #[derive(Default)]
 pub struct Feed;
 
--- a/crates/feed-follow/src/link/mod.rs
+++ b/crates/feed-follow/src/link/mod.rs
@@ -1,4 +1,6 @@
 //! The link to one cell at a time; on silence it moves to the next that rendezvous names.
+// The machine's state type is written by statig; its states are described at their functions.
+#[allow(missing_docs)]
 pub mod machine;
 
 use crate::prelude::*;
@@ -8,11 +10,15 @@
 
 /// A follower: who it is, and where cells were first told to be.
 pub struct FollowSettings {
+    /// The node's name, which ranks the cells for it.
     pub name: String,
+    /// Where it looks before, or when, no cell that it was told of answers.
     pub seeds: Seeds,
+    /// The port on which every cell serves its feed.
     pub feed_port: u16,
     /// The follower's own zone.
     pub zone: String,
+    /// What of the feed it wants.
     pub topics: Topics,
     /// Silence after which the link moves.
     pub silence: Duration,
@@ -41,8 +47,10 @@
     }
 }
 
+/// What a link brings its follower.
 #[derive(Debug, Clone)]
 pub enum News {
+    /// Items of the feed, in its order, configurations whole.
     Items(Vec<FeedItem>),
     /// The link is down; what is known may grow old.
     Down,
--- a/crates/feed-follow/src/prelude.rs
+++ b/crates/feed-follow/src/prelude.rs
@@ -3,7 +3,7 @@
 pub use crate::link::{follow_cells, FollowSettings, News};
 pub use crate::rank::CellRank;
 pub use crate::seeds::Seeds;
-pub use crate::view::FeedView;
+pub use crate::view::{FeedView, ViewedCells, ViewedConfig, ViewedTrial};
 pub use inner_protocol::feed::{
     EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics, ZoneTable,
 };
--- a/crates/feed-follow/src/rank/mod.rs
+++ b/crates/feed-follow/src/rank/mod.rs
@@ -5,15 +5,20 @@
 const LEAST_PAUSE: Duration = Duration::from_secs(5);
 const MOST_PAUSE: Duration = Duration::from_secs(80);
 
-/// Invariants: `cells` never goes back in its log index; of links that end one after the other, each cell
+struct ToldCell {
+    addr: String,
+    zone: String,
+}
+
+/// Ranks a follower's cells. Invariants: `cells` are those of log index `index`, which never goes back; of links that end one after the other, each cell
 /// and each seed gets one in every round; a follower away from its own zone's cells tries them again at
 /// most once in `pause`, which doubles until it stays.
 pub struct CellRank {
     key: u64,
     zone: String,
     seeds: Vec<String>,
-    /// Log index, and each cell's address and zone.
-    cells: (u64, Vec<(String, String)>),
+    index: u64,
+    cells: Vec<ToldCell>,
     turn: usize,
     /// The link that ended last was one of use.
     followed: bool,
@@ -28,7 +33,8 @@
             key: fnv64(name.as_bytes()),
             zone: zone.to_string(),
             seeds: seeds.to_vec(),
-            cells: (0, Vec::new()),
+            index: 0,
+            cells: Vec::new(),
             turn: 0,
             followed: false,
             pause: LEAST_PAUSE,
@@ -38,16 +44,17 @@
 
     /// Takes the cells' addresses and zones as of a log index.
     pub fn learn(&mut self, index: u64, addrs: &[String], zones: &[String]) {
-        if index < self.cells.0 || addrs.is_empty() {
+        if index < self.index || addrs.is_empty() {
             return;
         }
         let zone = |i: usize| zones.get(i).cloned().unwrap_or_default();
-        let list = addrs.iter().enumerate().map(|(i, a)| (a.clone(), zone(i))).collect();
-        self.cells = (index, list);
+        let cell = |(i, addr): (usize, &String)| ToldCell { addr: addr.clone(), zone: zone(i) };
+        self.cells = addrs.iter().enumerate().map(cell).collect();
+        self.index = index;
     }
 
     fn is_home(&self, addr: &str) -> bool {
-        !self.zone.is_empty() && self.cells.1.iter().any(|(a, z)| a == addr && *z == self.zone)
+        !self.zone.is_empty() && self.cells.iter().any(|c| c.addr == addr && c.zone == self.zone)
     }
 
     /// Takes the settings' seeds as they are now. Where no cell answers, they are tried next.
@@ -57,17 +64,17 @@
         }
         self.seeds = seeds.to_vec();
         if !self.followed {
-            self.turn = self.cells.1.len();
+            self.turn = self.cells.len();
         }
     }
 
     fn is_told(&self, addr: &str) -> bool {
-        self.cells.1.iter().any(|(a, _)| a == addr)
+        self.cells.iter().any(|c| c.addr == addr)
     }
 
     /// The cell to try now: the told ones, home first, then the seeds that aren't among them.
     pub fn next(&self) -> Option<&String> {
-        let mut row: Vec<&String> = self.cells.1.iter().map(|(a, _)| a).collect();
+        let mut row: Vec<&String> = self.cells.iter().map(|c| &c.addr).collect();
         row.extend(self.seeds.iter().filter(|s| !self.is_told(s)));
         let rank = rank_by_rendezvous(self.key, row.iter().map(|a| fnv64(a.as_bytes())));
         row.sort_by_key(|a| {
@@ -92,7 +99,7 @@
 
     /// Whether to leave `addr` for a cell of the own zone now; true at most once a pause.
     pub fn goes_home(&mut self, addr: &str, now: Duration) -> bool {
-        let has_home = self.cells.1.iter().any(|(a, _)| self.is_home(a));
+        let has_home = self.cells.iter().any(|c| self.is_home(&c.addr));
         if !has_home || self.is_home(addr) || now < self.next_home {
             return false;
         }
--- a/crates/feed-follow/src/view/mod.rs
+++ b/crates/feed-follow/src/view/mod.rs
@@ -1,16 +1,49 @@
 //! The newest of everything the feed told.
 use crate::prelude::*;
 
+/// The operator's configuration, as the feed brought it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct ViewedConfig {
+    /// Where it stands in the cells' log.
+    pub index: u64,
+    /// The operator's number for it.
+    pub version: u64,
+    /// The operator's text.
+    pub body: ByteBuf,
+}
+
+/// The cells, as the feed brought them.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct ViewedCells {
+    /// Where the list stands in the cells' log.
+    pub index: u64,
+    /// Each cell's address.
+    pub addrs: Vec<String>,
+}
+
+/// The routing trial, as the feed brought it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct ViewedTrial {
+    /// Where its newest change stands in the cells' log.
+    pub index: u64,
+    /// The trial.
+    pub record: Box<TrialRecord>,
+}
+
 /// Invariant: no topic ever goes back: configurations, cells and trials by log index, the store set by
-/// its version, an zone by (epoch, seq).
+/// its version, a zone by (epoch, seq).
 #[derive(Debug, Clone, Default)]
 pub struct FeedView {
-    pub config: Option<(u64, u64, ByteBuf)>,
+    /// The newest configuration.
+    pub config: Option<ViewedConfig>,
+    /// The newest store set.
     pub stores: StoreSet,
+    /// The newest table of each zone.
     pub zones: BTreeMap<String, ZoneTable>,
-    pub cells: (u64, Vec<String>),
-    /// The routing trial, by log index.
-    pub trial: Option<(u64, Box<TrialRecord>)>,
+    /// The newest list of cells.
+    pub cells: ViewedCells,
+    /// The newest state of the routing trial.
+    pub trial: Option<ViewedTrial>,
     /// A majority has confirmed the view at least once.
     pub current: bool,
 }
@@ -20,10 +53,11 @@
     pub fn take(&mut self, item: &FeedItem) -> bool {
         match item {
             FeedItem::Config { index, version, body } => {
-                let newer =
-                    self.config.as_ref().is_none_or(|(i, s, _)| *index > *i && *version > *s);
+                let old = self.config.as_ref();
+                let newer = old.is_none_or(|o| *index > o.index && *version > o.version);
                 if newer {
-                    self.config = Some((*index, *version, body.clone()));
+                    let (index, version, body) = (*index, *version, body.clone());
+                    self.config = Some(ViewedConfig { index, version, body });
                 }
                 newer
             }
@@ -43,9 +77,9 @@
                 newer
             }
             FeedItem::Cells { index, addrs, .. } => {
-                let newer = *index > self.cells.0 || self.cells.1.is_empty();
+                let newer = *index > self.cells.index || self.cells.addrs.is_empty();
                 if newer {
-                    self.cells = (*index, addrs.clone());
+                    self.cells = ViewedCells { index: *index, addrs: addrs.clone() };
                 }
                 newer
             }
@@ -54,9 +88,9 @@
             FeedItem::Current => !std::mem::replace(&mut self.current, true),
             FeedItem::Beat => false,
             FeedItem::Trial { index, trial } => {
-                let newer = self.trial.as_ref().is_none_or(|(i, _)| index > i);
+                let newer = self.trial.as_ref().is_none_or(|o| *index > o.index);
                 if newer {
-                    self.trial = Some((*index, trial.clone()));
+                    self.trial = Some(ViewedTrial { index: *index, record: trial.clone() });
                 }
                 newer
             }
@@ -66,20 +100,20 @@
     /// Everything, for one who begins.
     pub fn snapshot(&self) -> Vec<FeedItem> {
         let mut out = Vec::new();
-        if let Some((index, version, body)) = &self.config {
-            out.push(FeedItem::Config { index: *index, version: *version, body: body.clone() });
+        if let Some(ViewedConfig { index, version, body }) = self.config.clone() {
+            out.push(FeedItem::Config { index, version, body });
         }
         if self.stores.version > 0 {
             out.push(FeedItem::Stores(self.stores.clone()));
         }
         out.extend(self.zones.values().cloned().map(FeedItem::Zone));
         out.push(FeedItem::Cells {
-            index: self.cells.0,
-            addrs: self.cells.1.clone(),
+            index: self.cells.index,
+            addrs: self.cells.addrs.clone(),
             zones: Vec::new(),
         });
-        if let Some((index, trial)) = &self.trial {
-            out.push(FeedItem::Trial { index: *index, trial: trial.clone() });
+        if let Some(ViewedTrial { index, record }) = self.trial.clone() {
+            out.push(FeedItem::Trial { index, trial: record });
         }
         out
     }
--- a/crates/feed-follow/tests/view.rs
+++ b/crates/feed-follow/tests/view.rs
@@ -40,12 +40,12 @@
     for (i, (item, news)) in trace.iter().enumerate() {
         assert_eq!(v.take(item), *news, "row {i}");
     }
-    assert_eq!(v.config.as_ref().map(|c| c.1), Some(12));
+    assert_eq!(v.config.as_ref().map(|c| c.version), Some(12));
     let mut w = FeedView::default();
     for i in v.snapshot() {
         w.take(&i);
     }
     assert_eq!(w.zones, v.zones);
     assert_eq!(w.trial, v.trial);
-    assert_eq!(w.trial.map(|t| t.0), Some(11));
+    assert_eq!(w.trial.map(|t| t.index), Some(11));
 }
