--- a/crates/control-cell/src/actor/carry.rs
+++ b/crates/control-cell/src/actor/carry.rs
@@ -1,5 +1,4 @@
 //! Carries out what the agreement decides, after it was saved.
-use super::handle::OpenedFeed;
 use super::run::{Actor, Order, Reader};
 use super::stores::{retire_step, RetireStep};
 use super::trial::TrialStep;
@@ -139,8 +138,8 @@
                 w.answer(Some(body));
             }
             Reader::Follow(from, w) => {
-                let (items, feed) = self.open_feed(from.feed, from.no, from.wants);
-                w.answer(Some(OpenedFeed { items, feed }));
+                let opened = self.open_feed(from);
+                w.answer(Some(opened));
             }
             Reader::Index(w) => w.answer(CellReply::Index(index)),
             Reader::Retire { store, ask_only, waiting } => self.retire(&store, ask_only, waiting),
--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -12,6 +12,8 @@
     pub node: ConsensusNode,
     disk: AgreementDisk,
     began: Instant,
+    /// The newest contact with a majority, also while nobody is known to lead.
+    contact: Option<Duration>,
 }
 
 /// What a cell finds on its disk when it starts.
@@ -81,13 +83,14 @@
         let state = read_state(&dir, &log.snap)?;
         let seed = fastrand::u64(..);
         let node = ConsensusNode::new(id, hard, log, Tuning::default(), seed);
-        let driver = ConsensusDriver { me, node, disk, began: Instant::now() };
+        let driver = ConsensusDriver { me, node, disk, began: Instant::now(), contact: None };
         Ok(OpenedCell { driver, state, lives })
     }
 
     /// Handles an event and saves what must be saved; the effects left are to be carried out in order.
     pub fn handle(&mut self, ev: Event) -> NodeResult<Vec<Effect>> {
         let effects = self.node.handle(ev, self.began.elapsed());
+        self.contact = self.contact.max(self.node.last_contact());
         self.save(&effects)?;
         Ok(effects)
     }
@@ -141,9 +144,10 @@
     }
 
     /// Whether the last contact with a majority is recent enough to vouch for this cell's state: the
-    /// time after which others may have elected a new leader.
-    pub fn in_contact(&self) -> bool {
-        self.contact_within(self.node.tuning.election_high)
+    /// longest wait before an election. Past it a leader steps down and others elect one.
+    pub fn vouches(&self) -> bool {
+        let bound = self.node.tuning.election_high;
+        self.contact.is_some_and(|t| self.began.elapsed() < t + bound)
     }
 
     pub fn leads(&self) -> bool {
--- a/crates/control-cell/src/actor/duties.rs
+++ b/crates/control-cell/src/actor/duties.rs
@@ -12,7 +12,7 @@
 
 impl Actor {
     pub fn duties(&mut self, now: Instant) -> bool {
-        self.feed.beat(now, self.driver.in_contact());
+        self.feed.beat(now, self.driver.vouches());
         self.desk.retain_readers(|r| !r.is_gone());
         for t in self.zones.due(now, self.desk.state(), self.driver.me.id) {
             self.tell_table(&t);
--- a/crates/control-cell/src/actor/handle.rs
+++ b/crates/control-cell/src/actor/handle.rs
@@ -1,5 +1,4 @@
 //! The handle that the cell's tasks use, and the commands behind it.
-use super::feed::FeedReceiver;
 use crate::prelude::*;
 
 /// Who waits for an answer, and until when: after that nothing more is done for it.
@@ -30,25 +29,6 @@
     }
 }
 
-/// A follower's feed, opened.
-pub struct OpenedFeed {
-    /// What it is told from now on.
-    pub items: FeedReceiver,
-    /// The feed's identity.
-    pub feed: u64,
-}
-
-/// Where a follower wants its feed to go on, and what it takes.
-#[derive(Debug, Clone, Copy)]
-pub struct FollowFrom {
-    /// The feed it followed before.
-    pub feed: u64,
-    /// The newest number it has of it.
-    pub no: u64,
-    /// What it takes.
-    pub wants: Wants,
-}
-
 /// What the actor is asked for or told.
 pub enum CellCommand {
     /// A call that is answered.
--- a/crates/control-cell/src/actor/mod.rs
+++ b/crates/control-cell/src/actor/mod.rs
@@ -4,7 +4,6 @@
 mod carry;
 mod driver;
 mod duties;
-mod feed;
 mod handle;
 mod items;
 mod links;
@@ -16,8 +15,7 @@
 mod trial;
 mod zones;
 
-pub use feed::Wants;
-pub use handle::{CellCommand, CellHandle, FollowFrom, OpenedFeed, Waiting};
+pub use handle::{CellCommand, CellHandle, Waiting};
 
 use crate::prelude::*;
 use run::Actor;
--- a/crates/control-cell/src/actor/publish.rs
+++ b/crates/control-cell/src/actor/publish.rs
@@ -1,5 +1,4 @@
 //! Publishes the agreed state and the zones' tables on the feed.
-use super::feed::FeedReceiver;
 use super::items::{cells_item, config_item, stores_item, trial_item};
 use super::run::Actor;
 use crate::prelude::*;
@@ -40,10 +39,10 @@
         self.zones.hold(self.desk.state(), self.driver.me.id);
     }
 
-    pub fn open_feed(&mut self, feed: u64, no: u64, wants: Wants) -> (FeedReceiver, u64) {
+    pub fn open_feed(&mut self, from: FollowFrom) -> OpenedFeed {
         let Actor { desk, driver, zones, .. } = self;
         let state = desk.state();
-        self.feed.open(feed, no, wants, || {
+        self.feed.open(from, || {
             let mut whole: Vec<FeedItem> = Vec::new();
             whole.extend(config_item(state));
             whole.extend(stores_item(state));
--- a/crates/control-cell/src/actor/run.rs
+++ b/crates/control-cell/src/actor/run.rs
@@ -1,7 +1,5 @@
 //! The actor: composes a cell's parts and works through its queue of commands.
 use super::driver::{ConsensusDriver, OpenedCell};
-use super::feed::FeedBook;
-use super::handle::{FollowFrom, OpenedFeed};
 use super::links::CellLinks;
 use super::membership::MembershipDuty;
 use super::stores::StoreDuty;
--- a/crates/control-cell/src/actor/feed.rs
+++ b/crates/control-cell/src/feed/mod.rs
@@ -1,7 +1,4 @@
 //! The feed publisher: the cell's numbered feed and those who follow it.
-#[cfg(test)]
-mod tests;
-
 use crate::prelude::*;
 use crate::state::TakenConfig;
 
@@ -10,36 +7,65 @@
 
 /// How often followers are told that this cell still has a majority.
 const BEAT: Duration = Duration::from_millis(400);
-const KEPT: usize = 64;
+/// Items kept for followers that come back.
+pub const KEPT: usize = 64;
 /// Bytes of configurations among them: a few of the largest.
-const KEPT_BYTES: usize = 10 << 20;
+pub const KEPT_BYTES: usize = 10 << 20;
 
+/// The feed of one cell since it started.
+///
 /// Invariants: `no` is the newest number given; `recent` holds the newest items without a gap; a
 /// follower that doesn't keep up is left out rather than waited for.
-pub(super) struct FeedBook {
-    pub id: u64,
-    pub no: u64,
-    pub recent: VecDeque<Numbered>,
-    pub followers: Vec<(Wants, mpsc::Sender<Bytes>)>,
+pub struct FeedBook {
+    id: u64,
+    no: u64,
+    recent: VecDeque<Numbered>,
+    followers: Vec<Follower>,
     /// The configuration told last, which the next one is told as a difference to.
-    pub told_config: Option<(u64, ByteBuf)>,
-    pub next_beat: Instant,
+    last_config: Option<TakenConfig>,
+    next_beat: Instant,
+}
+
+struct Follower {
+    wants: Wants,
+    frames: mpsc::Sender<Bytes>,
 }
 
 /// What a follower takes.
 #[derive(Debug, Clone, Copy)]
 pub struct Wants {
+    /// The items it asks for.
     pub topics: Topics,
+    /// It reads configurations as differences.
     pub patches: bool,
 }
 
+/// Where a follower wants its feed to go on, and what it takes.
+#[derive(Debug, Clone, Copy)]
+pub struct FollowFrom {
+    /// The feed it followed before.
+    pub feed: u64,
+    /// The newest number it has of it.
+    pub no: u64,
+    /// What it takes.
+    pub wants: Wants,
+}
+
+/// A follower's feed, opened.
+pub struct OpenedFeed {
+    /// What it is told from now on.
+    pub items: FeedReceiver,
+    /// The feed's identity.
+    pub feed: u64,
+}
+
 impl Default for FeedBook {
     fn default() -> Self {
         FeedBook {
             id: fastrand::u64(1..),
             no: 0,
             recent: VecDeque::new(),
-            told_config: None,
+            last_config: None,
             followers: Vec::new(),
             next_beat: Instant::now(),
         }
@@ -47,6 +73,22 @@
 }
 
 impl FeedBook {
+    /// How many follow.
+    pub fn follower_count(&self) -> usize {
+        self.followers.len()
+    }
+
+    /// The newest items, kept for followers that come back.
+    pub fn recent(&self) -> impl DoubleEndedIterator<Item = &Numbered> {
+        self.recent.iter()
+    }
+
+    /// Takes in a follower that is told what comes from now on.
+    pub fn add_follower(&mut self, wants: Wants, frames: mpsc::Sender<Bytes>) {
+        self.followers.push(Follower { wants, frames });
+    }
+
+    /// Numbers an item and tells it to those who take it.
     pub fn publish(&mut self, item: FeedItem) {
         self.no += 1;
         let n = Numbered { no: self.no, item };
@@ -66,19 +108,19 @@
         }
         let frame = encode(&FeedMsg::Items(vec![n.clone()]));
         let patch = matches!(n.item, FeedItem::ConfigPatch { .. });
-        self.followers.retain(|(wants, f)| match n.item.is_of(wants.topics) {
+        self.followers.retain(|f| match n.item.is_of(f.wants.topics) {
             // One that reads no patches is let go, and begins anew from a snapshot.
-            true if patch && !wants.patches => false,
-            true => f.try_send(frame.clone()).is_ok(),
-            false => !f.is_closed(),
+            true if patch && !f.wants.patches => false,
+            true => f.frames.try_send(frame.clone()).is_ok(),
+            false => !f.frames.is_closed(),
         });
     }
 
     /// Tells a configuration, as a difference to the one told before where that is much smaller.
     pub fn publish_config(&mut self, config: &TakenConfig) {
-        let (index, version, body) = (config.index, config.version, config.body.clone());
-        let patch = self.told_config.take().map(|(base, old)| (base, Patch::between(&old, &body)));
-        self.told_config = Some((version, body.clone()));
+        let TakenConfig { index, version, body } = config.clone();
+        let last = self.last_config.replace(config.clone());
+        let patch = last.map(|last| (last.version, Patch::between(&last.body, &body)));
         self.publish(match patch {
             Some((base, patch)) if patch.size() < body.len() / 2 => {
                 FeedItem::ConfigPatch { index, version, base, patch }
@@ -88,13 +130,8 @@
     }
 
     /// Opens a follower's feed: from its place when it is still here, else from `whole`.
-    pub fn open(
-        &mut self,
-        feed: u64,
-        no: u64,
-        wants: Wants,
-        whole: impl FnOnce() -> Vec<FeedItem>,
-    ) -> (FeedReceiver, u64) {
+    pub fn open(&mut self, from: FollowFrom, whole: impl FnOnce() -> Vec<FeedItem>) -> OpenedFeed {
+        let FollowFrom { feed, no, wants } = from;
         let (tx, rx) = mpsc::channel(256);
         let oldest = self.recent.front().map_or(self.no + 1, |n| n.no);
         let mut items: Vec<Numbered> = Vec::new();
@@ -106,13 +143,13 @@
         items.push(Numbered { no: self.no, item: FeedItem::Current });
         items.retain(|n| n.item.is_of(wants.topics));
         let _ = tx.try_send(encode(&FeedMsg::Items(items)));
-        self.followers.push((wants, tx));
-        (rx, self.id)
+        self.add_follower(wants, tx);
+        OpenedFeed { items: rx, feed: self.id }
     }
 
-    /// Tells followers that this cell still has a majority, or lets them go.
-    pub fn beat(&mut self, now: Instant, in_contact: bool) {
-        if !in_contact {
+    /// Tells followers that this cell still has a majority, or lets them go at once.
+    pub fn beat(&mut self, now: Instant, vouches: bool) {
+        if !vouches {
             self.followers.clear();
         }
         if now < self.next_beat || self.followers.is_empty() {
--- a/crates/control-cell/src/follow/mod.rs
+++ b/crates/control-cell/src/follow/mod.rs
@@ -1,5 +1,4 @@
 //! Serves the numbered feed to agents and stores.
-use crate::actor::{FollowFrom, OpenedFeed};
 use crate::prelude::*;
 use node_base::links::{frame_stream, serve_streams};
 
--- a/crates/control-cell/src/lib.rs
+++ b/crates/control-cell/src/lib.rs
@@ -2,6 +2,7 @@
 //! serves `control`.
 pub mod actor;
 pub mod duties;
+pub mod feed;
 pub mod follow;
 pub mod listing;
 pub mod operator;
--- a/crates/control-cell/src/listing/mod.rs
+++ b/crates/control-cell/src/listing/mod.rs
@@ -1,14 +1,16 @@
 //! Reads the platform's list for the zones this cell holds.
 mod pace;
 
+pub use pace::ListPace;
+
 use crate::prelude::*;
-use pace::ListPace;
 
 /// The zones to read, each with the epoch that made this cell its holder.
 pub type Held = BTreeMap<String, u64>;
 
 const WITHIN: Duration = Duration::from_millis(800);
 
+/// Reads the lists of the zones that are held, until nobody takes them.
 pub async fn read_lists(
     cloud: CloudSettings,
     drain: Duration,
--- a/crates/control-cell/src/listing/pace/mod.rs
+++ b/crates/control-cell/src/listing/pace.rs
@@ -1,8 +1,5 @@
 //! How often the platform's list is read: its calls are priced and their rate is bounded, so calm zones
 //! are read no more often than the order of leaving engines needs, and changing ones at once again.
-#[cfg(test)]
-mod tests;
-
 use crate::prelude::*;
 
 const QUICK: Duration = Duration::from_millis(1100);
@@ -14,7 +11,12 @@
 pub struct ListPace {
     calm: Duration,
     /// Of each zone what its last list said, and until when it is read quickly.
-    zones: BTreeMap<String, (u64, Duration)>,
+    zones: BTreeMap<String, LastList>,
+}
+
+struct LastList {
+    said: u64,
+    quick_until: Duration,
 }
 
 impl ListPace {
@@ -23,23 +25,24 @@
         ListPace { calm: drain.mul_f64(0.45).clamp(QUICK, QUICK * 2), zones: BTreeMap::new() }
     }
 
-    /// An zone's list was read.
+    /// A zone's list was read.
     pub fn read(&mut self, zone: &str, engines: &[EngineEntry], now: Duration) {
         let said = engines.iter().fold(0u64, |h, e| {
             // Any order of the same entries is the same list.
             h.wrapping_add(fnv64(format!("{}|{}|{}", e.id, e.addr, e.draining).as_bytes()))
         });
         match self.zones.get_mut(zone) {
-            Some((old, _)) if *old == said => {}
+            Some(last) if last.said == said => {}
             _ => {
-                self.zones.insert(zone.to_string(), (said, now + LIVELY));
+                let last = LastList { said, quick_until: now + LIVELY };
+                self.zones.insert(zone.to_string(), last);
             }
         }
     }
 
     /// The pause before the held zones are read again.
     pub fn pause(&self, now: Duration) -> Duration {
-        match self.zones.values().any(|(_, until)| now < *until) {
+        match self.zones.values().any(|last| now < last.quick_until) {
             true => QUICK,
             false => self.calm,
         }
--- a/crates/control-cell/tests/common/mod.rs
+++ b/crates/control-cell/tests/common/mod.rs
@@ -13,6 +13,21 @@
     pub dir: PathBuf,
 }
 
+/// A running cell. Dropped, it ends like one that was killed.
+pub struct Process {
+    _stop: oneshot::Sender<()>,
+    freeze: mpsc::Sender<std::sync::mpsc::Receiver<()>>,
+}
+
+impl Process {
+    /// The cell stands still until the answer is dropped.
+    pub async fn freeze(&self) -> std::sync::mpsc::Sender<()> {
+        let (thaw, thawed) = std::sync::mpsc::channel();
+        self.freeze.send(thawed).await.unwrap();
+        thaw
+    }
+}
+
 impl Place {
     pub fn new(net: u8) -> Self {
         let dir =
@@ -42,10 +57,11 @@
         node_base::settings::read_settings(&file.display().to_string()).unwrap()
     }
 
-    /// A cell on a thread of its own, which ends it like a kill would when told (or dropped).
-    pub fn cell(&self, i: usize) -> (CellHandle, oneshot::Sender<()>) {
+    /// A cell on a thread of its own.
+    pub fn cell(&self, i: usize) -> (CellHandle, Process) {
         let settings = Arc::new(self.settings(i));
         let (stop, stopped) = oneshot::channel::<()>();
+        let (freeze, mut frozen) = mpsc::channel::<std::sync::mpsc::Receiver<()>>(1);
         let (tx, rx) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             let rt = Builder::new_current_thread().enable_all().build().unwrap();
@@ -57,15 +73,21 @@
                     let h = h.clone();
                     async move { h.answer(q).await }
                 }));
+                tokio::spawn(async move {
+                    while let Some(until) = frozen.recv().await {
+                        // Blocks the only thread of this cell.
+                        let _ = until.recv();
+                    }
+                });
                 tx.send(cell).unwrap();
                 let _ = stopped.await;
             });
         });
-        (rx.recv().unwrap(), stop)
+        (rx.recv().unwrap(), Process { _stop: stop, freeze })
     }
 
     /// Three cells that were founded together.
-    pub fn three(&self) -> (Vec<CellHandle>, Vec<oneshot::Sender<()>>) {
+    pub fn three(&self) -> (Vec<CellHandle>, Vec<Process>) {
         (1..=3).map(|i| self.cell(i)).unzip()
     }
 }
--- a/crates/control-cell/tests/currency.rs
+++ b/crates/control-cell/tests/currency.rs
@@ -1,4 +1,4 @@
-//! A leader that lost its majority, over loopback: it makes no claim about what is in force.
+//! Cells that lost their majority, over loopback: they make no claim about what is in force.
 mod common;
 
 use common::*;
@@ -13,7 +13,7 @@
 }
 
 /// The leader of three cells whose two others were just killed.
-async fn cut_leader(place: &Place) -> (CellHandle, oneshot::Sender<()>) {
+async fn cut_leader(place: &Place) -> (CellHandle, Process) {
     let (mut cells, mut stops) = place.three();
     let at = leader_at(&cells).await;
     let start = || TrialAsk::Start { spec: Box::new(check_spec(SPEC).unwrap()) };
@@ -74,3 +74,59 @@
         assert!(matches!(answer, Some(CellReply::Outcome(Outcome::Taken))), "{answer:?}");
     });
 }
+
+const ANY: FollowFrom =
+    FollowFrom { feed: 0, no: 0, wants: Wants { topics: Topics::All, patches: true } };
+
+/// Opens a feed at a cell, kills the others, and waits for the feed to end.
+async fn feed_ends_without_majority(place: &Place, at_leader: bool) {
+    let (mut cells, mut processes) = place.three();
+    let leader = leader_at(&cells).await;
+    let at = if at_leader { leader } else { (leader + 1) % 3 };
+    let (cell, _process) = (cells.remove(at), processes.remove(at));
+    let mut opened = cell.follow(ANY).await.unwrap();
+    drop(processes);
+    until("the end of the feed", async || opened.items.recv().await.is_none()).await;
+    assert!(cell.follow(ANY).await.is_none(), "opened without a majority");
+}
+
+#[test]
+fn a_cut_leader_ends_its_feeds_and_opens_none() {
+    let place = Place::new(14);
+    run(feed_ends_without_majority(&place, true));
+}
+
+#[test]
+fn a_cut_follower_ends_its_feeds_and_opens_none() {
+    let place = Place::new(15);
+    run(feed_ends_without_majority(&place, false));
+}
+
+/// The leader stands still just when a follower hands it an order: the caller is answered all the same,
+/// without a claim, and the order sent again is acknowledged, whatever became of the first.
+#[test]
+fn an_order_handed_to_a_frozen_leader_ends_with_its_deadline() {
+    let place = Place::new(16);
+    run(async {
+        let (cells, processes) = place.three();
+        let leader = leader_at(&cells).await;
+        let follower = &cells[(leader + 1) % 3];
+        let CellCall::Propose { change } = put(0, 1) else { unreachable!() };
+        let thaw = processes[leader].freeze().await;
+        let second_of_silence = Instant::now() + Duration::from_secs(1);
+        let deadline = Instant::now() + Duration::from_millis(300);
+        let answer = follower.propose(change.clone(), deadline).await;
+        assert!(matches!(answer, CellReply::Unable), "{answer:?}");
+        assert!(Instant::now() < second_of_silence);
+        drop(thaw);
+        until("an acknowledgement", async || {
+            let deadline = Instant::now() + Duration::from_secs(1);
+            match follower.propose(change.clone(), deadline).await {
+                CellReply::Outcome(Outcome::Taken | Outcome::TakenBefore) => true,
+                CellReply::Unable => false,
+                other => panic!("refused: {other:?}"),
+            }
+        })
+        .await;
+    });
+}
--- a/crates/control-cell/src/actor/feed/tests.rs
+++ b/crates/control-cell/tests/feed.rs
@@ -1,5 +1,5 @@
-use super::{FeedBook, Wants, KEPT_BYTES};
-use crate::prelude::*;
+//! The feed publisher: what each kind of follower is told, and what is kept.
+use control_cell::prelude::*;
 
 fn config(n: u64, size: usize) -> FeedItem {
     FeedItem::Config { index: n, version: n, body: ByteBuf::from(vec![b'x'; size]) }
@@ -26,7 +26,7 @@
     let mut book = FeedBook::default();
     let mut follow = |topics, patches| {
         let (tx, rx) = mpsc::channel(16);
-        book.followers.push((Wants { topics, patches }, tx));
+        book.add_follower(Wants { topics, patches }, tx);
         rx
     };
     let mut agent = follow(Topics::All, true);
@@ -42,7 +42,7 @@
     assert_eq!(told(&mut store), [stores]);
     // It reads no differences: it is let go at the first, to begin anew from a snapshot.
     assert_eq!(told(&mut old_agent), row[..3]);
-    assert_eq!(book.followers.len(), 2);
+    assert_eq!(book.follower_count(), 2);
 }
 
 /// Any row of configurations: what is kept for those who come back has no gap and bounded bytes.
@@ -52,17 +52,27 @@
         let mut book = FeedBook::default();
         for n in 1..=u.int_in_range(1..=90u64)? {
             book.publish(config(n, if u.ratio(1, 8)? { 4 << 20 } else { 100 }));
-            let bytes: usize = book.recent.iter().map(|n| n.item.body_bytes()).sum();
-            assert!(book.recent.len() <= 64 && (bytes <= KEPT_BYTES || book.recent.len() == 1));
-            assert!(book
-                .recent
-                .iter()
-                .rev()
-                .map(|r| r.no)
-                .eq((1..=n).rev().take(book.recent.len())));
+            let bytes: usize = book.recent().map(|n| n.item.body_bytes()).sum();
+            let kept = book.recent().count();
+            assert!(kept <= KEPT && (bytes <= KEPT_BYTES || kept == 1));
+            assert!(book.recent().rev().map(|r| r.no).eq((1..=n).rev().take(kept)));
         }
         Ok(())
     })
     .size_min(256)
     .budget_ms(300);
 }
+
+/// A cell that lost its contact with a majority vouches no longer, also when no beat is due.
+#[test]
+fn followers_are_let_go_as_soon_as_contact_is_lost() {
+    let mut book = FeedBook::default();
+    let now = Instant::now();
+    let all = Wants { topics: Topics::All, patches: true };
+    let mut opened = book.open(FollowFrom { feed: 0, no: 0, wants: all }, Vec::new);
+    book.beat(now, true);
+    assert_eq!(told(&mut opened.items), [FeedItem::Current, FeedItem::Beat]);
+    book.beat(now + Duration::from_millis(1), false);
+    assert_eq!(book.follower_count(), 0);
+    assert!(opened.items.is_closed());
+}
--- a/crates/control-cell/src/listing/pace/tests.rs
+++ b/crates/control-cell/tests/list_pace.rs
@@ -1,5 +1,6 @@
-use super::ListPace;
-use crate::prelude::*;
+//! How often the platform's list is read.
+use control_cell::listing::ListPace;
+use control_cell::prelude::*;
 
 /// Any schedule of lists: short pauses after a change, half of the bound at most, and order is no news.
 #[test]
--- a/crates/control-cell/tests/trial_leader.rs
+++ b/crates/control-cell/tests/trial_leader.rs
@@ -28,7 +28,7 @@
     run(play(cells, stops));
 }
 
-async fn play(mut cells: Vec<CellHandle>, mut stops: Vec<oneshot::Sender<()>>) {
+async fn play(mut cells: Vec<CellHandle>, mut stops: Vec<Process>) {
     let text = "id = \"t\"\nname = \"t\"\n[control]\nname = \"a\"\n[candidate]\nname = \"b\"\nstayMs = 1\n\
                 [guardrail]\nprotectedPriority = 0\n";
     let spec = Box::new(check_spec(text).unwrap());
