--- a/crates/control-cell/src/duties/stores.rs
+++ b/crates/control-cell/src/duties/stores.rs
@@ -5,7 +5,9 @@
 /// What the leader has seen of a store: its newest word, and how long ago.
 #[derive(Debug, Clone)]
 pub struct StoreObservation {
+    /// What it told of itself last.
     pub status: StoreStatus,
+    /// How long ago that was.
     pub silent: Duration,
 }
 
--- a/crates/control-cell/src/follow/mod.rs
+++ b/crates/control-cell/src/follow/mod.rs
@@ -2,8 +2,10 @@
 use crate::prelude::*;
 use node_base::links::{frame_stream, serve_streams};
 
+/// How long a follower may take to say what it wants.
 const FIRST: Duration = Duration::from_secs(2);
 
+/// Serves every follower that connects.
 pub async fn serve_feed(listener: TcpListener, cell: CellHandle) {
     serve_streams(listener, move |s| {
         tokio::spawn(serve_one(s, cell.clone()));
--- a/crates/control-cell/src/lib.rs
+++ b/crates/control-cell/src/lib.rs
@@ -1,3 +1,4 @@
+#![deny(missing_docs)]
 //! A cell: keeps its zones' engines and nodes, agrees with the other cells on the configuration, and
 //! serves `control`.
 pub mod actor;
--- a/crates/control-cell/src/operator/mod.rs
+++ b/crates/control-cell/src/operator/mod.rs
@@ -35,6 +35,7 @@
     r
 }
 
+/// Serves every caller that connects.
 pub async fn serve_operator(listener: TcpListener, cell: CellHandle) {
     loop {
         let Ok((s, _)) = listener.accept().await else {
--- a/crates/control-cell/src/state/mod.rs
+++ b/crates/control-cell/src/state/mod.rs
@@ -8,28 +8,38 @@
 /// The newest configuration that was taken.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct TakenConfig {
+    /// The log index that brought it.
     pub index: u64,
+    /// The operator's number for it.
     pub version: u64,
+    /// Its text as it was sent.
     pub body: ByteBuf,
 }
 
+/// What the cells agree on.
+///
 /// Invariants: `config.version` only grows; `confirmed` names the configurations taken, so that one sent
 /// again is known; `stores.version` grows by each change.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct CellState {
+    /// The newest configuration.
     pub config: Option<TakenConfig>,
     /// Missing in snapshots of before there was one.
     #[serde(default)]
     pub confirmed: ConfirmedOrders,
+    /// The stores that count.
     pub stores: StoreSet,
+    /// The log index that brought them.
     pub stores_index: u64,
+    /// Which cell holds each zone.
     pub holders: BTreeMap<String, u64>,
-    /// The log index at which an zone's holder was last named.
+    /// The log index at which a zone's holder was last named.
     pub epochs: BTreeMap<String, u64>,
     /// The routing trial that runs, or the last one, and the log index that brought it. Missing in
     /// snapshots older than trials.
     #[serde(default)]
     pub trial: Option<Box<TrialRecord>>,
+    /// The log index that brought the trial.
     #[serde(default)]
     pub trial_index: u64,
 }
@@ -47,10 +57,12 @@
         Some(state)
     }
 
+    /// The newest configuration's version; 0 before the first.
     pub fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.version)
     }
 
+    /// Applies the change of a log entry. It depends on nothing but the state and the entry.
     pub fn apply(&mut self, index: u64, change: Change) -> Outcome {
         match change {
             Change::PutConfig { base, version, sha256, body } => {
--- a/crates/control-cell/tests/currency.rs
+++ b/crates/control-cell/tests/currency.rs
@@ -130,3 +130,43 @@
         .await;
     });
 }
+
+fn store(i: u64) -> StoreStatus {
+    StoreStatus {
+        id: i,
+        name: format!("storage-{i}"),
+        addr: format!("storage-{i}:1"),
+        zone: "a".into(),
+        fresh: false,
+        version: 1,
+        whole: 1,
+    }
+}
+
+/// A retirement that was acknowledged is known to every cell, also once the leader that said so is gone.
+#[test]
+fn an_acknowledged_retirement_outlives_its_leader() {
+    let place = Place::new(17);
+    run(async {
+        let (mut cells, mut processes) = place.three();
+        let at = leader_at(&cells).await;
+        let deadline = || Instant::now() + Duration::from_secs(1);
+        until("a set of stores, and an order taken", async || {
+            (1..=5).for_each(|i| cells[at].announce(store(i)));
+            let answer = cells[(at + 1) % 3].retire("storage-2".into(), false, deadline()).await;
+            matches!(answer, CellReply::Retire(RetireState::Running))
+        })
+        .await;
+        drop((cells.remove(at), processes.remove(at)));
+        for cell in &cells {
+            until("the retirement", async || {
+                match cell.retire("storage-2".into(), true, deadline()).await {
+                    CellReply::Retire(RetireState::Running) => true,
+                    CellReply::Unable => false,
+                    other => panic!("{other:?}"),
+                }
+            })
+            .await;
+        }
+    });
+}
