--- a/crates/control-cell/src/actor/calls.rs
+++ b/crates/control-cell/src/actor/calls.rs
@@ -11,7 +11,11 @@
         let leads = self.driver.leads();
         match call {
             CellCall::Propose { change } if leads => {
-                return self.change(&change, Some(Order::Plain(waiting)));
+                // One that comes again or lost its race is not written once more.
+                return match self.desk.state().decided(&change) {
+                    None => self.change(&change, Some(Order::Plain(waiting))),
+                    Some(_) => self.confirm_for(Reader::Order { change, waiting }),
+                };
             }
             CellCall::Confirm if leads => return self.confirm_for(Reader::Index(waiting)),
             CellCall::Retire { store, ask_only } if leads => {
--- a/crates/control-cell/src/actor/carry.rs
+++ b/crates/control-cell/src/actor/carry.rs
@@ -142,6 +142,10 @@
                 w.answer(Some(opened));
             }
             Reader::Index(w) => w.answer(CellReply::Index(index)),
+            Reader::Order { change, waiting } => match self.desk.state().decided(&change) {
+                Some(outcome) => waiting.answer(CellReply::Outcome(outcome)),
+                None => drop(self.change(&change, Some(Order::Plain(waiting)))),
+            },
             Reader::Retire { store, ask_only, waiting } => self.retire(&store, ask_only, waiting),
             Reader::Trial { ask, waiting } => self.asked_of_trial(ask, waiting),
         }
--- a/crates/control-cell/src/actor/run.rs
+++ b/crates/control-cell/src/actor/run.rs
@@ -50,6 +50,11 @@
     Follow(FollowFrom, Waiting<Option<OpenedFeed>>),
     /// Another cell asks on behalf of its reader.
     Index(Waiting<CellReply>),
+    /// An order that would change nothing, as far as is known here.
+    Order {
+        change: Change,
+        waiting: Waiting<CellReply>,
+    },
     Retire {
         store: String,
         ask_only: bool,
@@ -68,8 +73,9 @@
             Reader::Config(w) => w.answer(None),
             Reader::Follow(_, w) => w.answer(None),
             Reader::Index(w) => w.answer(CellReply::Unable),
-            Reader::Retire { waiting, .. } => waiting.answer(CellReply::Unable),
-            Reader::Trial { waiting, .. } => waiting.answer(CellReply::Unable),
+            Reader::Order { waiting, .. }
+            | Reader::Retire { waiting, .. }
+            | Reader::Trial { waiting, .. } => waiting.answer(CellReply::Unable),
         }
     }
 
@@ -79,8 +85,9 @@
             Reader::Config(w) => w.remaining(),
             Reader::Follow(_, w) => w.remaining(),
             Reader::Index(w) => w.remaining(),
-            Reader::Retire { waiting, .. } => waiting.remaining(),
-            Reader::Trial { waiting, .. } => waiting.remaining(),
+            Reader::Order { waiting, .. }
+            | Reader::Retire { waiting, .. }
+            | Reader::Trial { waiting, .. } => waiting.remaining(),
         }
     }
 
@@ -89,8 +96,9 @@
             Reader::Config(w) => w.is_gone(),
             Reader::Follow(_, w) => w.is_gone(),
             Reader::Index(w) => w.is_gone(),
-            Reader::Retire { waiting, .. } => waiting.is_gone(),
-            Reader::Trial { waiting, .. } => waiting.is_gone(),
+            Reader::Order { waiting, .. }
+            | Reader::Retire { waiting, .. }
+            | Reader::Trial { waiting, .. } => waiting.is_gone(),
         }
     }
 }
--- a/crates/control-cell/src/operator/mod.rs
+++ b/crates/control-cell/src/operator/mod.rs
@@ -8,6 +8,8 @@
 const ANSWER_WITHIN: Duration = Duration::from_millis(850);
 /// What each MiB of a body adds: callers wait longer for large ones, and it goes to every cell.
 const ANSWER_PER_MIB: Duration = Duration::from_millis(250);
+/// Bodies from this size on are checked on another thread: it takes long enough to hold up the cell.
+const LARGE_BODY: usize = 64 << 10;
 const HEADER_TIME: Duration = Duration::from_secs(10);
 
 type Answer = Response<Full<Bytes>>;
@@ -80,6 +82,13 @@
     }
 }
 
+/// The change that a body asks for, or the body's faults.
+fn order_of(base: u64, body: &Bytes) -> Result<Change, Vec<Fault>> {
+    let version = check_config(body)?.version;
+    let body = ByteBuf::from(body.to_vec());
+    Ok(Change::PutConfig { base, version, sha256: order_digest(&body), body })
+}
+
 async fn put_config(req: Request<Incoming>, cell: CellHandle) -> Answer {
     let base = req
         .headers()
@@ -97,20 +106,18 @@
     let Some(base) = base else {
         return answer(400, json!({"error": "If-Match must name the version it builds on"}));
     };
-    let cfg = match check_config(&body) {
-        Ok(c) => c,
-        Err(faults) => {
+    let checked = match body.len() < LARGE_BODY {
+        true => Ok(order_of(base, &body)),
+        false => tokio::task::spawn_blocking(move || order_of(base, &body)).await,
+    };
+    let change = match checked {
+        Ok(Ok(change)) => change,
+        Ok(Err(faults)) => {
             let list: Vec<String> = faults.iter().take(50).map(Fault::to_string).collect();
             return answer(400, json!({"error": "invalid", "faults": list}));
         }
+        Err(_) => return unable(),
     };
-    let change = Change::PutConfig {
-        base,
-        version: cfg.version,
-        sha256: order_digest(&body),
-        body: ByteBuf::from(body.to_vec()),
-    };
-    drop(cfg);
     match cell.propose(change, deadline).await {
         CellReply::Outcome(Outcome::Taken | Outcome::TakenBefore) => answer(200, json!({})),
         CellReply::Outcome(Outcome::Conflict) => {
--- a/crates/control-cell/src/state/mod.rs
+++ b/crates/control-cell/src/state/mod.rs
@@ -98,12 +98,21 @@
     }
 
     fn put_config(&mut self, base: u64, new: TakenConfig, sha256: BodyDigest) -> Outcome {
-        let version = new.version;
         let digest = match sha256 == BodyDigest::default() {
             true => order_digest(&new.body),
             false => sha256,
         };
-        if self.confirmed.has(version, &digest) {
+        let outcome = self.foresee(base, new.version, &digest);
+        if outcome == Outcome::Taken {
+            self.confirmed.add(new.version, digest);
+            self.config = Some(new);
+        }
+        outcome
+    }
+
+    /// What an order would come to if it were the next entry.
+    pub fn foresee(&self, base: u64, version: u64, digest: &BodyDigest) -> Outcome {
+        if self.confirmed.has(version, digest) {
             return Outcome::TakenBefore;
         }
         // One that builds on its own version or a later one was never taken.
@@ -116,8 +125,16 @@
         if version <= base {
             return Outcome::NotAbove;
         }
-        self.confirmed.add(version, digest);
-        self.config = Some(new);
         Outcome::Taken
     }
+
+    /// What a change that would leave the state as it is comes to. Served by a confirmed read it needs
+    /// no entry of its own.
+    pub fn decided(&self, change: &Change) -> Option<Outcome> {
+        let Change::PutConfig { base, version, sha256, .. } = change else {
+            return None;
+        };
+        let outcome = self.foresee(*base, *version, sha256);
+        (outcome != Outcome::Taken).then_some(outcome)
+    }
 }
--- a/crates/control-cell/tests/history_model/cells.rs
+++ b/crates/control-cell/tests/history_model/cells.rs
@@ -13,6 +13,8 @@
 #[derive(Clone, Debug)]
 pub enum Reader {
     Get(Attempt),
+    /// An order that would change nothing, as far as was known where it came.
+    Put(Attempt, Order),
     /// Another cell, in one of its lives, asks for its own reader.
     Index {
         cell: u64,
@@ -62,6 +64,8 @@
     /// What the disk holds: survives a crash.
     hard: HardState,
     disk: TermLog,
+    /// Orders that are to be proposed after what is being carried out.
+    later: Vec<(Attempt, Order)>,
     pub out: Vec<Packet>,
 }
 
@@ -75,6 +79,15 @@
     Change::PutConfig { base, version, sha256: order_digest(&body), body }
 }
 
+fn put_answer(outcome: Option<Outcome>) -> PutAnswer {
+    match outcome {
+        Some(Outcome::Taken | Outcome::TakenBefore) => PutAnswer::Acknowledged,
+        Some(Outcome::Conflict) => PutAnswer::OtherVersion,
+        Some(Outcome::NotAbove) => PutAnswer::NotAbove,
+        Some(Outcome::Forgotten) | None => PutAnswer::Unclear,
+    }
+}
+
 fn founders(ids: &[u64]) -> TermLog {
     let member = |id: &u64| Member {
         id: *id,
@@ -96,7 +109,7 @@
         let seed = id * 77 + life;
         let node = ConsensusNode::new(id, hard, disk.clone(), Tuning::default(), seed);
         let desk = OrderDesk::new(state, node.applied);
-        Cell { node, desk, life, hard, disk, out: Vec::new() }
+        Cell { node, desk, life, hard, disk, later: Vec::new(), out: Vec::new() }
     }
 
     /// The process dies and starts again: only the disk is left.
@@ -123,6 +136,15 @@
                 }
             }
         }
+        for (attempt, order) in std::mem::take(&mut self.later) {
+            self.propose(attempt, &order, now);
+        }
+    }
+
+    fn propose(&mut self, attempt: Attempt, order: &Order, now: Duration) {
+        let token = self.desk.order(Some(attempt));
+        let body = Body::Command(ByteBuf::from(encode(&change(order)).to_vec()));
+        self.step(Event::Propose { token, body }, now);
     }
 
     fn save(&mut self, effect: &Effect) {
@@ -150,13 +172,17 @@
         let from = self.node.me;
         let packet = match event {
             DeskEvent::Order { waiting: attempt, outcome } => {
-                let answer = match outcome {
-                    Some(Outcome::Taken | Outcome::TakenBefore) => PutAnswer::Acknowledged,
-                    Some(Outcome::Conflict) => PutAnswer::OtherVersion,
-                    Some(Outcome::NotAbove) => PutAnswer::NotAbove,
-                    Some(Outcome::Forgotten) | None => PutAnswer::Unclear,
-                };
-                Packet::PutAnswer { from, attempt, answer }
+                Packet::PutAnswer { from, attempt, answer: put_answer(outcome) }
+            }
+            DeskEvent::Read { reader: Reader::Put(attempt, order), index } => {
+                let decided = self.desk.state().decided(&change(&order));
+                if index.is_some() && decided.is_none() {
+                    // Carried out after what is being carried out, as in the actor.
+                    self.later.push((attempt, order));
+                    return;
+                }
+                let outcome = decided.filter(|_| index.is_some());
+                Packet::PutAnswer { from, attempt, answer: put_answer(outcome) }
             }
             DeskEvent::Read { reader: Reader::Get(attempt), index } => {
                 let answer = match index {
@@ -187,9 +213,11 @@
     pub fn put(&mut self, attempt: Attempt, order: Order, now: Duration) {
         let from = self.node.me;
         if self.node.leads() {
-            let token = self.desk.order(Some(attempt));
-            let body = Body::Command(ByteBuf::from(encode(&change(&order)).to_vec()));
-            return self.step(Event::Propose { token, body }, now);
+            if self.desk.state().decided(&change(&order)).is_some() {
+                let token = self.desk.read(Reader::Put(attempt, order));
+                return self.step(Event::Confirm { token }, now);
+            }
+            return self.propose(attempt, &order, now);
         }
         self.out.push(match self.leader() {
             Some(to) => Packet::Forward { from, to, attempt, order },
--- a/crates/control-cell/tests/history_model/world.rs
+++ b/crates/control-cell/tests/history_model/world.rs
@@ -287,11 +287,17 @@
     pub fn confirm_again(&mut self) {
         let newest = self.newest();
         let last = self.acknowledged().into_iter().find(|o| o.version == newest);
+        let logged = self.logged();
         for id in self.ids() {
             let Some(order) = last else { return };
             let answer = self.finish(Op::Put { order, answer: PutAnswer::Unclear }, id);
             assert_eq!(answer, Op::Put { order, answer: PutAnswer::Acknowledged });
         }
+        assert_eq!(self.logged(), logged, "an order that is known is written again");
+    }
+
+    fn logged(&self) -> u64 {
+        self.cells.values().map(|c| c.node.log.last()).max().unwrap_or(0)
     }
 
     /// So is every other that ever was, and all cells hold the same.
