--- a/crates/control-cell/src/state/mod.rs
+++ b/crates/control-cell/src/state/mod.rs
@@ -1,6 +1,8 @@
 //! What the cells agree on: the same on every cell after the same entries.
+mod canonical;
 mod record;
 
+pub use canonical::canonical_json;
 pub use record::{order_digest, ConfirmedOrders, MOST_CONFIRMED};
 
 use crate::prelude::*;
--- a/crates/control-cell/src/state/record.rs
+++ b/crates/control-cell/src/state/record.rs
@@ -1,4 +1,5 @@
 //! The record of confirmed orders: by it an order that is sent again is known.
+use super::canonical::canonical_json;
 use crate::prelude::*;
 use serde::{Deserializer, Serializer};
 use sha2::{Digest, Sha256};
@@ -90,9 +91,9 @@
 /// The digest of a configuration. It is the same for two texts that say the same: keys are sorted and
 /// blanks left out before it is taken.
 pub fn order_digest(body: &[u8]) -> BodyDigest {
-    let digest = match serde_json::from_slice::<Value>(body) {
-        Ok(v) => Sha256::digest(v.to_string().as_bytes()),
-        Err(_) => Sha256::digest(body),
+    let digest = match canonical_json(body) {
+        Some(text) => Sha256::digest(&text),
+        None => Sha256::digest(body),
     };
     BodyDigest::new(digest.into())
 }
