--- a/crates/control-cell/src/listing/mod.rs
+++ b/crates/control-cell/src/listing/mod.rs
@@ -1,8 +1,9 @@
 //! Reads the platform's list for the zones this cell holds.
-pub mod pace;
+mod pace;
+
+pub use pace::ListPace;
 
 use crate::prelude::*;
-use pace::ListPace;
 
 /// The zones to read, each with the epoch that made this cell its holder.
 pub type Held = BTreeMap<String, u64>;
--- a/crates/control-cell/src/listing/pace/mod.rs
+++ b/crates/control-cell/src/listing/pace.rs
@@ -11,7 +11,12 @@
 pub struct ListPace {
     calm: Duration,
     /// Of each zone what its last list said, and until when it is read quickly.
-    zones: BTreeMap<String, (u64, Duration)>,
+    zones: BTreeMap<String, LastList>,
+}
+
+struct LastList {
+    said: u64,
+    quick_until: Duration,
 }
 
 impl ListPace {
@@ -32,16 +37,17 @@
             h.wrapping_add(fnv64(format!("{}|{}|{}", e.id, e.addr, e.draining).as_bytes()))
         });
         match self.zones.get_mut(zone) {
-            Some((old, _)) if *old == said => {}
+            Some(last) if last.said == said => {}
             _ => {
-                self.zones.insert(zone.to_string(), (said, now + LIVELY));
+                let last = LastList { said, quick_until: now + LIVELY };
+                self.zones.insert(zone.to_string(), last);
             }
         }
     }
 
     /// The pause before the held zones are read again.
     pub fn pause(&self, now: Duration) -> Duration {
-        match self.zones.values().any(|(_, until)| now < *until) {
+        match self.zones.values().any(|last| now < last.quick_until) {
             true => QUICK,
             false => self.calm,
         }
