--- a/crates/agreement/tests/model/mod.rs
+++ b/crates/agreement/tests/model/mod.rs
@@ -50,7 +50,12 @@
     pub agreed: BTreeMap<u64, (u64, Body)>,
     digests: BTreeMap<u64, u64>,
     leaders: BTreeMap<u64, u64>,
-    acknowledged: Vec<Acknowledged>,
+    /// Not older than the contact bound.
+    acknowledged: VecDeque<Acknowledged>,
+    /// The newest of the older ones.
+    acknowledged_before: u64,
+    newest_acknowledged: u64,
+    newest_membership: Option<(u64, Membership)>,
     proposed: BTreeMap<u64, (u64, LogPosition)>,
     /// For each read under way, what was acknowledged before it began.
     reads: BTreeMap<u64, u64>,
@@ -103,7 +108,10 @@
             agreed: BTreeMap::new(),
             digests: BTreeMap::new(),
             leaders: BTreeMap::new(),
-            acknowledged: Vec::new(),
+            acknowledged: VecDeque::new(),
+            acknowledged_before: 0,
+            newest_acknowledged: 0,
+            newest_membership: None,
             proposed: BTreeMap::new(),
             reads: BTreeMap::new(),
             confirmed: BTreeMap::new(),
@@ -194,12 +202,19 @@
         let digest = *self.digests.entry(entry.index).or_insert(node.state.digest);
         assert_eq!(digest, node.state.digest, "states differ at {}", entry.index);
         let position = entry.position();
+        if let Body::Membership(m) = &entry.body {
+            let older = self.newest_membership.as_ref().is_none_or(|(i, _)| *i < entry.index);
+            if older {
+                self.newest_membership = Some((entry.index, m.clone()));
+            }
+        }
         let had = self.agreed.entry(entry.index).or_insert((entry.term, entry.body.clone()));
         assert_eq!(*had, (entry.term, entry.body), "two entries agreed on at {}", entry.index);
         let mine = self.proposed.iter().find(|(_, (at, p))| *at == id && *p == position);
         if let Some(token) = mine.map(|(token, _)| *token) {
             self.proposed.remove(&token);
-            self.acknowledged.push(Acknowledged { at: self.now, index: position.index });
+            self.acknowledged.push_back(Acknowledged { at: self.now, index: position.index });
+            self.newest_acknowledged = self.newest_acknowledged.max(position.index);
         }
     }
 
@@ -219,14 +234,16 @@
 
     /// A leader that may answer from its state lacks nothing that was confirmed longer ago than the
     /// contact bound.
-    fn check_ready(&self, id: u64) {
+    fn check_ready(&mut self, id: u64) {
+        let bound = self.tuning.contact_bound();
+        while let Some(a) = self.acknowledged.pop_front_if(|a| a.at + bound < self.now) {
+            self.acknowledged_before = self.acknowledged_before.max(a.index);
+        }
         let node = &self.nodes[&id];
         if !node.consensus.ready_to_serve(self.now) {
             return;
         }
-        let bound = self.tuning.contact_bound();
-        let old = self.acknowledged.iter().filter(|a| a.at + bound < self.now);
-        let newest = old.map(|a| a.index).max().unwrap_or(0);
+        let newest = self.acknowledged_before;
         assert!(node.state.index >= newest, "{id} serves {} of {newest}", node.state.index);
     }
 
@@ -336,8 +353,7 @@
     pub fn read(&mut self, id: u64) -> u64 {
         self.token += 1;
         let token = self.token;
-        let before = self.acknowledged.iter().map(|a| a.index).max().unwrap_or(0);
-        self.reads.insert(token, before);
+        self.reads.insert(token, self.newest_acknowledged);
         self.step(id, Event::Confirm { token });
         token
     }
@@ -366,13 +382,11 @@
 
     /// The memberships that may be in force: the newest that was agreed on, and newer ones in any log.
     pub fn memberships_in_force(&self) -> Vec<Membership> {
-        let agreed = self.agreed.iter().rev().find_map(|(index, (_, body))| match body {
-            Body::Membership(m) => Some((*index, m.clone())),
-            _ => None,
-        });
+        let agreed = self.newest_membership.clone();
         let since = agreed.as_ref().map_or(0, |(index, _)| *index);
         let logs = self.nodes.values().map(|n| &n.consensus.log);
-        let newer = logs.filter(|log| log.membership_index() >= since);
+        let founded = logs.filter(|log| !log.membership().voters.is_empty());
+        let newer = founded.filter(|log| log.membership_index() >= since);
         newer.map(|log| log.membership().clone()).chain(agreed.map(|(_, m)| m)).collect()
     }
 
--- a/crates/control-cell/src/duties/members.rs
+++ b/crates/control-cell/src/duties/members.rs
@@ -8,6 +8,9 @@
 
 /// Silence after which a standby takes a voter's place.
 const REPLACED: Duration = Duration::from_millis(1500);
+/// A voter that is silent for longer may be lost, and the machines that join may be in its place: there
+/// are no more voters than before. Below the time that a machine takes from its start to its first request.
+const UNSURE: Duration = Duration::from_millis(500);
 /// Silence after which a standby is left out, and a voter that nobody can stand in for becomes one.
 const GONE: Duration = Duration::from_secs(20);
 /// More voters than these only make each decision slower.
@@ -164,9 +167,17 @@
         chosen
     }
 
+    /// How many vote. Machines that may not answer never make more voters than there are: their
+    /// successors may be among the others.
+    fn voter_count(&self, pool: &[&Member]) -> usize {
+        let answering = pool.iter().filter(|m| !self.silent(m, UNSURE)).count();
+        let machines = answering.max(pool.len().min(self.current.voters.len()));
+        self.policy.voters_of(machines)
+    }
+
     fn voters(&self) -> Vec<Member> {
         let pool = self.pool();
-        let most = self.policy.voters_of(pool.len());
+        let most = self.voter_count(&pool);
         let fewer = (FEWEST_VOTERS..=most).rev().filter(|n| *n == most || n % 2 == 1);
         let mut choices = fewer.map(|n| self.choose(&pool, n));
         let chosen = choices.find(|voters| self.policy.bears_domains(voters));
