--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -14,6 +14,8 @@
     members: Vec<Member>,
     disk: AgreementDisk,
     began: Instant,
+    /// The newest contact with a majority, also while nobody is known to lead.
+    contact: Option<Duration>,
 }
 
 /// What a cell finds on its disk when it starts.
@@ -95,13 +97,15 @@
         let seed = fastrand::u64(..);
         let node = ConsensusNode::new(id, hard, log, Tuning::default(), seed);
         let members = members_of(&node);
-        let driver = ConsensusDriver { me, node, members, disk, began: Instant::now() };
+        let began = Instant::now();
+        let driver = ConsensusDriver { me, node, members, disk, began, contact: None };
         Ok(OpenedCell { driver, state, lives })
     }
 
     /// Handles an event and saves what must be saved; the effects left are to be carried out in order.
     pub fn handle(&mut self, ev: Event) -> NodeResult<Vec<Effect>> {
         let effects = self.node.handle(ev, self.began.elapsed());
+        self.contact = self.contact.max(self.node.last_contact());
         self.save(&effects)?;
         if self.node.log.membership().all().into_iter().ne(&self.members) {
             self.members = members_of(&self.node);
@@ -157,10 +161,24 @@
         self.node.last_contact().is_some_and(|t| self.began.elapsed() < t + within)
     }
 
+    /// Whether the last contact with a majority is recent enough to vouch for this cell's state: the
+    /// longest wait before an election. Past it a leader steps down and others elect one.
+    pub fn vouches(&self) -> bool {
+        let bound = self.node.tuning.election_high;
+        self.contact.is_some_and(|t| self.began.elapsed() < t + bound)
+    }
+
     pub fn leads(&self) -> bool {
         self.node.leads()
     }
 
+    /// Whether this cell leads and its state holds all that was agreed on in earlier terms: an entry of
+    /// its own term is applied.
+    pub fn leads_with_current_state(&self) -> bool {
+        let term = self.node.log.term_at(self.node.applied);
+        self.leads() && term == Some(self.node.hard.term)
+    }
+
     pub fn members(&self) -> &[Member] {
         &self.members
     }
@@ -178,11 +196,8 @@
 }
 
 fn read_state(dir: &Path, snap: &Snapshot) -> NodeResult<CellState> {
-    if snap.data.is_empty() {
-        return Ok(CellState::default());
-    }
     // Another version's state is not dropped for an empty one.
-    decode(&snap.data).ok_or_else(|| NodeError::Damaged {
+    CellState::read(&snap.data).ok_or_else(|| NodeError::Damaged {
         file: dir.join("agreement/snapshot").display().to_string(),
         offset: 0,
         reason: "the agreed state can't be read: damaged, or of another version".into(),
--- a/crates/control-cell/src/actor/mod.rs
+++ b/crates/control-cell/src/actor/mod.rs
@@ -4,12 +4,10 @@
 mod carry;
 mod driver;
 mod duties;
-mod feed;
 mod handle;
 mod items;
 mod links;
 mod membership;
-mod pending;
 mod publish;
 mod run;
 mod stores;
@@ -17,8 +15,7 @@
 mod trial;
 mod zones;
 
-pub use feed::Wants;
-pub use handle::{CellCommand, CellHandle};
+pub use handle::{CellCommand, CellHandle, Waiting};
 
 use crate::prelude::*;
 use run::Actor;
--- a/crates/control-cell/src/duties/holders.rs
+++ b/crates/control-cell/src/duties/holders.rs
@@ -1,6 +1,7 @@
 //! Who holds each zone: a cell of the zone itself if one is alive, else one named by rendezvous.
 use crate::prelude::*;
 
+/// The next holders of the zones, if they change.
 pub fn next_holders(
     cur: &BTreeMap<String, u64>,
     zones: &BTreeSet<String>,
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -1,14 +1,16 @@
 //! The one module every file of this package imports.
-pub use crate::actor::{CellCommand, CellHandle, Wants};
+pub use crate::actor::{CellCommand, CellHandle, Waiting};
 pub use crate::duties::{
     next_holders, next_membership, next_stores, CorePolicy, JoinRequest, MemberObservation,
     StoreObservation,
 };
-pub use crate::state::CellState;
+pub use crate::feed::{FeedBook, FollowFrom, OpenedFeed, Wants, KEPT, KEPT_BYTES};
+pub use crate::orders::{ChangedPart, DeskEvent, OrderDesk, UnreadableState};
+pub use crate::state::{order_digest, CellState, ConfirmedOrders};
 pub use agreement::prelude::{AgreementDisk, ConsensusNode, Effect, Event, HardState, Tuning};
 pub use inner_protocol::cells::{
-    Body, CellCall, CellReply, CellTold, Change, Entry, LogPosition, Member, Membership, Msg,
-    Outcome, RetireState, Snapshot, TrialAsk, TrialTold,
+    Body, BodyDigest, CellCall, CellReply, CellTold, Change, Entry, LogPosition, Member,
+    Membership, Msg, Outcome, RetireState, Snapshot, TrialAsk, TrialTold,
 };
 pub use inner_protocol::feed::{
     EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics, ZoneTable,
--- a/crates/control-cell/tests/holders.rs
+++ b/crates/control-cell/tests/holders.rs
@@ -1,13 +1,16 @@
-//! Which cell holds a zone.
+//! Who holds each zone.
 use control_cell::prelude::*;
 
-fn member(id: u64, zone: &str) -> Member {
-    Member { id, name: String::new(), addr: String::new(), zone: zone.into(), incarnation: 0 }
-}
-
 #[test]
 fn a_zone_goes_to_another_cell_and_comes_home() {
-    let members = [member(1, "a"), member(2, "b")];
+    let m = |id, zone: &str| Member {
+        id,
+        name: String::new(),
+        addr: String::new(),
+        zone: zone.into(),
+        incarnation: 0,
+    };
+    let members = [m(1, "a"), m(2, "b")];
     let zones = BTreeSet::from(["a".to_string(), "b".to_string()]);
     let all = next_holders(&BTreeMap::new(), &zones, &members, |_| true).unwrap();
     assert_eq!((all["a"], all["b"]), (1, 2));
--- a/crates/inner-protocol/src/cells.rs
+++ b/crates/inner-protocol/src/cells.rs
@@ -260,11 +260,21 @@
     }
 }
 
+/// SHA-256 of a configuration's normalised text.
+pub type BodyDigest = serde_bytes::ByteArray<32>;
+
 /// A change the cells agree on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// An operator's configuration built on `base`.
-    PutConfig { base: u64, version: u64, digest: u64, body: ByteBuf },
+    /// An operator's configuration built on `base`. `sha256` is of its normalised text; it is empty in
+    /// entries older than it.
+    PutConfig {
+        base: u64,
+        version: u64,
+        #[serde(default)]
+        sha256: BodyDigest,
+        body: ByteBuf,
+    },
     /// The next store set; applied only on top of the set with version `base`.
     PutStores { base: u64, set: crate::stores::StoreSet },
     /// Who holds each zone.
@@ -283,6 +293,8 @@
     Conflict,
     /// The version isn't above the current one.
     NotAbove,
+    /// It may be one of those that were taken too long ago to be known again: no claim is made.
+    Forgotten,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -333,6 +345,11 @@
     Trial {
         ask: TrialAsk,
     },
+    /// A call whose caller waits for so many milliseconds more; it isn't carried out after that.
+    Within {
+        ms: u64,
+        call: Box<CellCall>,
+    },
 }
 
 /// What an operator asks of the routing trial. A start and a stop are answered with an outcome.
