--- a/crates/control-cell/src/actor/carry.rs
+++ b/crates/control-cell/src/actor/carry.rs
@@ -73,8 +73,14 @@
             return;
         };
         let me = &self.driver.me;
+        let bulk = msg.is_bulk();
         let call = CellCall::Agree { from: me.id, addr: me.addr.clone(), msg };
-        self.links.caller(&addr).tell(&call);
+        let caller = self.links.caller(&addr);
+        match bulk {
+            // One that is refused counts as lost: the node sends it again in its time.
+            true => drop(caller.tell_bulk(&call)),
+            false => caller.tell(&call),
+        }
     }
 
     pub fn propose(&mut self, body: Body, order: Option<Order>) -> bool {
