--- a/crates/request-proxy/src/app/feed.rs
+++ b/crates/request-proxy/src/app/feed.rs
@@ -1,4 +1,4 @@
-//! News from the agent beside, and regular housekeeping.
+//! Updates from the agent beside, and regular housekeeping.
 use super::locked;
 use crate::prelude::*;
 use node_base::settings::AGENT_PORT;
@@ -23,7 +23,7 @@
             let News::Items(items) = n else { continue };
             for item in items {
                 if view.take(&item) {
-                    app.news(&item);
+                    app.apply_update(&item);
                 }
             }
             if view.current && view.config.is_some() && app.live().is_some() {
@@ -54,7 +54,8 @@
 }
 
 impl App {
-    fn news(&self, item: &FeedItem) {
+    /// Takes one item of the feed into what requests are served by.
+    pub fn apply_update(&self, item: &FeedItem) {
         match item {
             FeedItem::Config { version, body, .. } => match check_config(body) {
                 Ok(cfg) => {
@@ -68,6 +69,7 @@
                             .collect(),
                         header_bytes: cfg.limits.header_bytes,
                         body_bytes: cfg.limits.body_bytes,
+                        header_time: cfg.limits.header_time,
                         idle_time: cfg.limits.idle_time,
                     };
                     info!("configuration {} in force", version);
--- a/crates/request-proxy/src/app/mod.rs
+++ b/crates/request-proxy/src/app/mod.rs
@@ -14,6 +14,7 @@
     pub services: HashMap<String, Arc<Service>>,
     pub header_bytes: usize,
     pub body_bytes: usize,
+    pub header_time: Duration,
     pub idle_time: Duration,
 }
 
--- a/crates/request-proxy/src/door/mod.rs
+++ b/crates/request-proxy/src/door/mod.rs
@@ -1,6 +1,7 @@
 //! The door: connections, typed heads, and the proxy's own answers.
 mod answers;
 mod head;
+mod idle;
 mod serve;
 
 pub use answers::{OwnAnswer, ProxyBody};
--- a/crates/request-proxy/src/door/serve.rs
+++ b/crates/request-proxy/src/door/serve.rs
@@ -1,4 +1,5 @@
 //! Connections: one task each, with a bounded head, idle time, and an end in order.
+use super::idle::{BusyBody, RestWatch};
 use crate::flow;
 use crate::prelude::*;
 use hyper::server::conn::http1;
@@ -7,6 +8,7 @@
 
 const QUIET: Duration = Duration::from_secs(4);
 
+/// Answers the entry's `GET /readiness`.
 pub async fn serve_readiness(listener: TcpListener, app: Arc<App>) {
     loop {
         let Ok((s, _)) = listener.accept().await else {
@@ -93,44 +95,84 @@
     }
 }
 
+/// Of a head that its client has begun when the idle time ends, at most so much longer is waited for.
+const LEAST_HEAD_TIME: Duration = Duration::from_secs(1);
+const FIRST_IDLE_TIME: Duration = Duration::from_secs(15);
+const FIRST_HEAD_BYTES: usize = 16 << 10;
+
+fn idle_time(app: &App) -> Duration {
+    app.live().map_or(FIRST_IDLE_TIME, |l| l.idle_time)
+}
+
+fn head_time(app: &App) -> Duration {
+    app.live().map_or(LEAST_HEAD_TIME, |l| l.header_time.max(LEAST_HEAD_TIME))
+}
+
 async fn serve_client(s: TcpStream, app: Arc<App>, mut life: watch::Receiver<LifeState>) {
-    let (head_bytes, idle) = match app.live() {
-        Some(l) => (l.header_bytes, l.idle_time),
-        None => (16 << 10, Duration::from_secs(15)),
-    };
-    let svc_app = app.clone();
+    let head_bytes = app.live().map_or(FIRST_HEAD_BYTES, |l| l.header_bytes);
+    let rest = RestWatch::new(idle_time(&app));
+    let (svc_app, svc_rest) = (app.clone(), rest.clone());
     let svc = hyper::service::service_fn(move |req: Request<Incoming>| {
         let app = svc_app.clone();
+        let busy = svc_rest.begin(idle_time(&app));
         async move {
             let mut r = flow::serve(&app, req).await;
             if app.life().leaving() {
                 r.headers_mut().insert("connection", HeaderValue::from_static("close"));
             }
-            Ok::<_, Infallible>(r)
+            Ok::<_, Infallible>(BusyBody::around(r, busy))
         }
     });
     let conn = http1::Builder::new()
-        .timer(hyper_util::rt::TokioTimer::new())
-        .header_read_timeout(idle)
         .max_buf_size((head_bytes + 4096).max(16 << 10))
         .serve_connection(TokioIo::new(s), svc);
     tokio::pin!(conn);
     // One taken while the proxy is closing has its answer first.
     if !life.borrow_and_update().listens() {
-        let _ = conn.await;
+        while tokio::time::timeout(idle_time(&app), conn.as_mut()).await.is_err() {
+            if rest.until(Duration::ZERO).is_some() {
+                return;
+            }
+        }
         return;
     }
+    let mut timer = Box::pin(tokio::time::sleep(Duration::ZERO));
     loop {
-        tokio::select! {
-            _ = conn.as_mut() => return,
-            r = life.changed() => {
-                let over = r.is_err() || !life.borrow_and_update().listens();
-                if over {
-                    conn.as_mut().graceful_shutdown();
-                    let _ = conn.await;
+        // The connection is looked at first: whatever it does counts before the clock.
+        let rested = std::future::poll_fn(|cx| {
+            if conn.as_mut().poll(cx).is_ready() {
+                return Poll::Ready(Ended::Connection);
+            }
+            let Some(until) = rest.until(idle_time(&app)) else {
+                return Poll::Pending;
+            };
+            if timer.deadline() != until.into() {
+                timer.as_mut().reset(until.into());
+            }
+            timer.as_mut().poll(cx).map(|()| Ended::Rest)
+        });
+        let over = tokio::select! {
+            ended = rested => match ended {
+                Ended::Connection => return,
+                Ended::Rest => rest.until(idle_time(&app)).is_some_and(|u| u <= Instant::now()),
+            },
+            r = life.changed() => r.is_err() || !life.borrow_and_update().listens(),
+        };
+        if over {
+            conn.as_mut().graceful_shutdown();
+            // A head that was begun may still come to its end; what was taken has its answer.
+            while tokio::time::timeout(head_time(&app), conn.as_mut()).await.is_err() {
+                if rest.until(Duration::ZERO).is_some() {
                     return;
                 }
             }
+            return;
         }
     }
 }
+
+/// What ended first.
+enum Ended {
+    Connection,
+    Rest,
+}
--- a/crates/request-proxy/src/sending/judge.rs
+++ b/crates/request-proxy/src/sending/judge.rs
@@ -1,6 +1,19 @@
 //! What an engine's answer is worth: pure.
 use crate::prelude::*;
 
+/// The request that an answer came for, as far as judging it needs.
+#[derive(Debug, Clone, Copy)]
+pub struct Asked<'a> {
+    /// Its id, which engines carry back.
+    pub request_id: &'a str,
+    /// Nothing else was ever asked on the connection, and nothing came on it before this request was
+    /// written whole: whatever answers there answers this request.
+    pub alone: bool,
+    /// It may run more than once.
+    pub repeatable: bool,
+}
+
+/// What is to be made of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// The engine's own answer to this request.
@@ -13,20 +26,42 @@
     Spoiled(&'static str),
 }
 
-pub fn judge(status: u16, h: &HeaderMap, request_id: &str) -> Verdict {
-    let id = h.get(names::REQUEST_ID).map(|v| v.as_bytes());
-    if id.is_some_and(|v| v != request_id.as_bytes()) {
-        return Verdict::Spoiled("an answer to another request");
+/// Statuses by which clients hold a request for not run, now or later.
+const PROMISES: [u16; 4] = [408, 421, 429, 503];
+
+/// How far an answer's id ties it to the request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Tie {
+    Own,
+    Absent,
+    Foreign,
+}
+
+fn tie_of(h: &HeaderMap, request_id: &str) -> Tie {
+    let mut ids = h.get_all(names::REQUEST_ID).iter().peekable();
+    if ids.peek().is_none() {
+        return Tie::Absent;
     }
-    if status == 421 {
-        return Verdict::Elsewhere;
+    match ids.all(|v| v.as_bytes() == request_id.as_bytes()) {
+        true => Tie::Own,
+        false => Tie::Foreign,
     }
-    if h.contains_key(names::NOT_RUN) && status >= 400 {
-        return Verdict::NotRun;
+}
+
+/// Judges an answer by its head. Invariant: `NotRun` and `Elsewhere` are said only of an answer that
+/// bears the request's id, or that nothing else can have caused.
+pub fn judge(status: u16, h: &HeaderMap, asked: &Asked<'_>) -> Verdict {
+    let tie = tie_of(h, asked.request_id);
+    if tie == Tie::Foreign {
+        return Verdict::Spoiled("an answer to another request");
     }
-    if id.is_none() {
+    let refusal = refusal_of(status, h);
+    if tie == Tie::Absent && !(refusal.is_some() && asked.alone) {
         return Verdict::Spoiled("an answer without the request's id");
     }
+    if let Some(refused) = refusal {
+        return refused;
+    }
     if h.contains_key("content-encoding") {
         return Verdict::Spoiled("an encoded answer");
     }
@@ -36,53 +71,15 @@
     if !h.contains_key("content-length") && !h.contains_key("transfer-encoding") && status != 204 {
         return Verdict::Spoiled("an answer whose end can't be known");
     }
+    if !asked.repeatable && PROMISES.contains(&status) {
+        return Verdict::Spoiled("a promise that the engine did not give");
+    }
     Verdict::Sound
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn only_the_engine_s_own_whole_answer_counts() {
-        let id = (names::REQUEST_ID, "a1");
-        let stamp = (names::STAMP, "s");
-        let len = ("content-length", "3");
-        let not_run = (names::NOT_RUN, "1");
-        type Row<'a> = (u16, Vec<(&'a str, &'a str)>, Verdict);
-        let rows: Vec<Row> = vec![
-            (200, vec![id, stamp, len], Verdict::Sound),
-            (200, vec![id, stamp, ("transfer-encoding", "chunked")], Verdict::Sound),
-            (500, vec![id, len], Verdict::Sound),
-            (503, vec![id, len], Verdict::Sound),
-            (503, vec![not_run, len], Verdict::NotRun),
-            (429, vec![id, not_run, len], Verdict::NotRun),
-            (421, vec![len], Verdict::Elsewhere),
-            (
-                503,
-                vec![(names::REQUEST_ID, "b2"), not_run],
-                Verdict::Spoiled("an answer to another request"),
-            ),
-            (
-                200,
-                vec![(names::REQUEST_ID, "b2"), stamp, len],
-                Verdict::Spoiled("an answer to another request"),
-            ),
-            (200, vec![stamp, len], Verdict::Spoiled("an answer without the request's id")),
-            (200, vec![id, len], Verdict::Spoiled("a success without a stamp")),
-            (
-                200,
-                vec![id, stamp, len, ("content-encoding", "gzip")],
-                Verdict::Spoiled("an encoded answer"),
-            ),
-            (200, vec![id, stamp], Verdict::Spoiled("an answer whose end can't be known")),
-        ];
-        for (status, headers, want) in rows {
-            let mut h = HeaderMap::new();
-            for (k, v) in &headers {
-                h.append(http::HeaderName::from_bytes(k.as_bytes()).unwrap(), v.parse().unwrap());
-            }
-            assert_eq!(judge(status, &h, "a1"), want, "{status} {headers:?}");
-        }
+fn refusal_of(status: u16, h: &HeaderMap) -> Option<Verdict> {
+    if status == 421 {
+        return Some(Verdict::Elsewhere);
     }
+    (status >= 400 && h.contains_key(names::NOT_RUN)).then_some(Verdict::NotRun)
 }
--- a/crates/request-proxy/src/sending/pool.rs
+++ b/crates/request-proxy/src/sending/pool.rs
@@ -1,30 +1,48 @@
 //! Connections to engines, kept while they are of use.
+use super::wire::WireWatch;
 use crate::app::locked;
 use crate::prelude::*;
 use hyper::client::conn::http1::SendRequest;
 
+/// The sending end of a connection.
 pub type Sender = SendRequest<Full<Bytes>>;
 
 struct Idle {
     sender: Sender,
+    wire: WireWatch,
     since: Instant,
     keep: Duration,
 }
 
-/// Invariant: a connection is here only between two requests; each engine life has its own row, so
-/// that a handed-on address never gets an old connection's trust.
+/// The kept connections. Invariants: a connection is here only between two requests, and nothing ever
+/// came on it out of turn; each engine life has its own row, so that a handed-on address never gets an
+/// old connection's trust.
 pub struct Pool {
     rows: Mutex<HashMap<EngineKey, Vec<Idle>>>,
 }
 
-/// A connection in use.
+/// A connection in use by one request.
 pub struct Lease {
+    /// The engine life it leads to.
     pub key: EngineKey,
+    /// Its sending end.
     pub sender: Sender,
+    /// What is known of its bytes.
+    pub wire: WireWatch,
+    /// It has carried another request before.
     pub reused: bool,
+    /// How long it had rested.
     pub idle: Duration,
 }
 
+impl Lease {
+    /// Whatever answers here answers this lease's request: nothing else was ever asked, and nothing came
+    /// before the request was written whole.
+    pub fn alone(&self) -> bool {
+        !self.reused && !self.wire.out_of_turn()
+    }
+}
+
 const CONNECT: Duration = Duration::from_millis(350);
 const SILENT: Duration = Duration::from_millis(2500);
 const MOST_IDLE: usize = 16;
@@ -32,6 +50,7 @@
 const MOST_KEEP: Duration = Duration::from_secs(4);
 
 impl Pool {
+    /// No connections.
     pub fn new() -> Self {
         Pool { rows: Mutex::new(HashMap::new()) }
     }
@@ -45,38 +64,44 @@
         while row.last().is_some_and(|i| now.duration_since(i.since) <= limit) {
             let Some(i) = row.pop() else { break };
             let idle = now.duration_since(i.since);
-            if i.sender.is_closed() || idle > i.keep || !i.sender.is_ready() {
+            if i.sender.is_closed() || idle > i.keep || !i.sender.is_ready() || i.wire.out_of_turn()
+            {
                 continue;
             }
-            return Some(Lease { key, sender: i.sender, reused: true, idle });
+            return Some(Lease { key, sender: i.sender, wire: i.wire, reused: true, idle });
         }
         None
     }
 
+    /// A new connection.
     pub async fn connect(&self, key: EngineKey, addr: SocketAddr, left: Duration) -> Option<Lease> {
         let within = CONNECT.min(left);
         let s = tokio::time::timeout(within, TcpStream::connect(addr)).await.ok()?.ok()?;
         tune_stream(&s, SILENT);
-        let (sender, conn) = hyper::client::conn::http1::handshake(TokioIo::new(s)).await.ok()?;
+        let (stream, wire) = WireWatch::over(s);
+        let io = TokioIo::new(stream);
+        let (sender, conn) = hyper::client::conn::http1::handshake(io).await.ok()?;
         tokio::spawn(async move {
             let _ = conn.await;
         });
-        Some(Lease { key, sender, reused: false, idle: Duration::ZERO })
+        Some(Lease { key, sender, wire, reused: false, idle: Duration::ZERO })
     }
 
-    /// Puts a connection back after a whole answer. `told` is what `Keep-Alive` gave.
-    pub fn give_back(&self, l: Lease, told: Option<Duration>) {
-        if l.sender.is_closed() {
+    /// Puts a connection back after a whole answer, unless anything came on it out of turn. `announced`
+    /// is what `Keep-Alive` gave.
+    pub fn give_back(&self, l: Lease, announced: Option<Duration>) {
+        if l.sender.is_closed() || l.wire.out_of_turn() {
             return;
         }
-        let keep = match told {
+        l.wire.rest();
+        let keep = match announced {
             Some(t) => t.mul_f64(0.7),
             None => MOST_KEEP,
         };
         let mut rows = locked(&self.rows);
         let row = rows.entry(l.key).or_default();
         if row.len() < MOST_IDLE {
-            row.push(Idle { sender: l.sender, since: Instant::now(), keep });
+            row.push(Idle { sender: l.sender, wire: l.wire, since: Instant::now(), keep });
         }
     }
 
@@ -85,6 +110,7 @@
         locked(&self.rows).remove(&key);
     }
 
+    /// Lets go of those that have ended or rested for too long.
     pub fn sweep(&self, now: Instant) {
         locked(&self.rows).retain(|_, row| {
             row.retain(|i| !i.sender.is_closed() && now.duration_since(i.since) <= i.keep);
--- a/crates/request-proxy/src/sending/send.rs
+++ b/crates/request-proxy/src/sending/send.rs
@@ -1,18 +1,24 @@
 //! One send to one engine.
 use super::heads::engine_request;
-use super::judge::{judge, Verdict};
+use super::judge::{judge, Asked, Verdict};
 use super::pool::Lease;
 use crate::app::locked;
 use crate::prelude::*;
 
+/// What one send came to.
 pub enum SendOutcome {
     /// The engine's own answer, its body still to come.
     Answer(Response<Incoming>, Lease),
-    /// It certainly didn't run. `reached` tells that an engine answered so.
-    NotRun { reached: bool, elsewhere: bool },
+    /// It certainly didn't run.
+    NotRun {
+        /// An engine answered.
+        reached: bool,
+        /// Another engine than the one meant.
+        elsewhere: bool,
+    },
     /// It may have run, and no answer is to be had.
     MayHaveRun(&'static str, FailureKind),
-    /// Its time is over, no answer came.
+    /// Its time is over, no answer came; it may have run.
     Late,
 }
 
@@ -20,18 +26,25 @@
 
 /// A request on its way out. Nothing is sent after `until`.
 pub struct Outgoing<'a> {
+    /// The client's head.
     pub parts: &'a RequestParts,
+    /// The whole body.
     pub body: &'a Bytes,
+    /// The client's id of it.
     pub request_id: &'a str,
+    /// The end of its time.
     pub until: Instant,
+    /// What engines rank it by, 0 first.
     pub urgency: u8,
     /// It may run more than once.
     pub repeatable: bool,
 }
 
+/// Sends a request to the engine of a grant, at most once unless it may be repeated.
 pub async fn send_once(app: &App, g: &Grant, out: Outgoing<'_>) -> SendOutcome {
     let Outgoing { parts, body, request_id, until, urgency, repeatable } = out;
-    // A kept connection may have been closed just now; a new one is tried then, and nothing has run.
+    // A kept connection may have been closed just now, or have something out of turn on it: not a byte
+    // goes out there, and a new one is tried.
     for fresh in [false, true] {
         let left = until.saturating_duration_since(Instant::now());
         if left < Duration::from_millis(2) {
@@ -53,7 +66,8 @@
         let sent = lease.sender.try_send_request(req);
         match tokio::time::timeout(left, sent).await {
             Err(_) => return SendOutcome::Late,
-            Ok(Err(mut e)) => {
+            Ok(Err(_)) => {
+                lease.wire.seal();
                 // Whatever the cause, its other kept connections are no better.
                 app.pool.forget(g.key);
                 let now = app.now();
@@ -64,7 +78,8 @@
                 let forgotten =
                     lease.reused && lease.idle > seen.idle_limit(&g.service, false, now);
                 drop(sched);
-                if e.take_message().is_none() && !(forgotten && repeatable) {
+                let again = lease.wire.unsent() || (forgotten && repeatable);
+                if !again {
                     return SendOutcome::MayHaveRun("the engine broke off", FailureKind::Reset);
                 }
                 if !lease.reused {
@@ -73,7 +88,8 @@
             }
             Ok(Ok(res)) => {
                 note_answer(app, g, &lease, res.headers());
-                return match judge(res.status().as_u16(), res.headers(), request_id) {
+                let asked = Asked { request_id, alone: lease.alone(), repeatable };
+                return match judge(res.status().as_u16(), res.headers(), &asked) {
                     Verdict::Sound => SendOutcome::Answer(res, lease),
                     Verdict::NotRun => {
                         finish_quietly(app, res, lease);
@@ -115,9 +131,9 @@
 
 /// Reads a small refusal to its end, so that the connection can be used again.
 fn finish_quietly(app: &App, res: Response<Incoming>, lease: Lease) {
-    let told = keep_alive(res.headers());
+    let announced = keep_alive(res.headers());
     let body = res.into_body();
     if hyper::body::Body::size_hint(&body).exact() == Some(0) {
-        app.pool.give_back(lease, told);
+        app.pool.give_back(lease, announced);
     }
 }
--- a/crates/stand-ins/src/engine/mod.rs
+++ b/crates/stand-ins/src/engine/mod.rs
@@ -1,4 +1,9 @@
-//! An engine: streams three events a turn, answers calls, and misbehaves as told.
+//! An engine: streams three events a turn, answers calls, and misbehaves as told. Beside it one that
+//! follows a script byte by byte.
+mod scripted;
+
+pub use scripted::{answer, success, ScriptedEngine, Seen, Step};
+
 use crate::prelude::*;
 
 /// What the engine does to the next request, once each.
