--- a/crates/request-proxy/src/app/feed.rs
+++ b/crates/request-proxy/src/app/feed.rs
@@ -3,6 +3,7 @@
 use crate::prelude::*;
 use node_base::settings::AGENT_PORT;
 
+/// Follows the feed of the agent beside and applies it.
 pub fn follow_agent(app: &Arc<App>) {
     let (tx, mut rx) = mpsc::channel(256);
     let follow = FollowSettings {
@@ -15,7 +16,7 @@
         silence: Duration::from_secs(3600),
         repeat: Duration::from_secs(3600),
     };
-    tokio::spawn(follow_cells(follow, tx, app.trial.words()));
+    tokio::spawn(follow_cells(follow, tx, app.trial.reports()));
     let app = app.clone();
     tokio::spawn(async move {
         let mut view = FeedView::default();
@@ -33,6 +34,7 @@
     });
 }
 
+/// Housekeeping: leases at the stores, notes, old connections and index entries.
 pub fn sweep_regularly(app: &Arc<App>) {
     let bank = app.bank.clone();
     tokio::spawn(async move {
@@ -85,7 +87,7 @@
                 drop(sched);
                 self.pump();
             }
-            FeedItem::Trial { trial, .. } => self.trial_news(trial),
+            FeedItem::Trial { trial, .. } => self.learn_trial(trial),
             FeedItem::ConfigPatch { .. }
             | FeedItem::Cells { .. }
             | FeedItem::Current
--- a/crates/request-proxy/src/app/mod.rs
+++ b/crates/request-proxy/src/app/mod.rs
@@ -1,35 +1,51 @@
 //! What the proxy's workers share.
+#![deny(missing_docs)]
 mod feed;
 mod trial;
 
 pub use feed::{follow_agent, sweep_regularly};
-pub use trial::{report_outcomes, Seat, TrialDesk};
+pub use trial::{report_outcomes, TrialDesk, TrialPlacement};
 
 use crate::prelude::*;
 
 /// A configuration in force, ready for use.
 pub struct Live {
+    /// Its version.
     pub version: u64,
+    /// Its routes by host and prefix.
     pub routes: RouteTable,
+    /// Its services by name.
     pub services: HashMap<String, Arc<Service>>,
+    /// The largest head a client may send.
     pub header_bytes: usize,
+    /// The largest body a client may send.
     pub body_bytes: usize,
+    /// How long a head may take.
     pub header_time: Duration,
+    /// How long a client's connection may rest.
     pub idle_time: Duration,
 }
 
 /// The proxy's whole state, passed down by reference. Lock order: `live`, `life`, `sched`, `tickets`,
 /// the pool's, the bank's, the trial's; none is held over a wait.
 pub struct App {
+    /// The settings of this process.
     pub settings: NodeSettings,
+    /// When it started; `now` counts from here.
     pub began: Instant,
+    /// The configuration in force.
     pub live: Mutex<Option<Arc<Live>>>,
     life: Mutex<InitializedStateMachine<Life>>,
     life_out: Mutex<Option<watch::Sender<LifeState>>>,
+    /// Engines, the index and the queue.
     pub sched: Mutex<Scheduler>,
+    /// Those that wait in the queue, by ticket.
     pub tickets: Mutex<HashMap<u64, oneshot::Sender<Grant>>>,
+    /// Kept connections to engines.
     pub pool: Pool,
+    /// Turns and claims at the stores.
     pub bank: Arc<TurnBank>,
+    /// The routing trial, as far as this node has a part in it.
     pub trial: TrialDesk,
 }
 
@@ -39,6 +55,7 @@
 }
 
 impl App {
+    /// The state of a proxy that has learned nothing yet.
     pub fn new(settings: NodeSettings) -> Arc<Self> {
         // A tenth of the memory is for chains that come back.
         let cache_bytes = (settings.limits.memory_mb << 20) as usize / 10;
@@ -57,22 +74,27 @@
         })
     }
 
+    /// Time since the start.
     pub fn now(&self) -> Duration {
         self.began.elapsed()
     }
 
+    /// The configuration in force.
     pub fn live(&self) -> Option<Arc<Live>> {
         locked(&self.live).clone()
     }
 
+    /// The state of its life.
     pub fn life(&self) -> LifeState {
         locked(&self.life).state().clone()
     }
 
+    /// Changes of the life go here from now on.
     pub fn tell_life(&self, out: watch::Sender<LifeState>) {
         *locked(&self.life_out) = Some(out);
     }
 
+    /// Something happened to its life.
     pub fn live_on(&self, ev: LifeEvent) {
         let state = {
             let mut m = locked(&self.life);
@@ -88,13 +110,13 @@
         }
     }
 
-    /// Waits until requests may be taken; false when that takes too long.
-    pub async fn taken_up(&self, until: Instant) -> bool {
+    /// Waits until requests are admitted; false when that takes too long.
+    pub async fn admitted(&self, until: Instant) -> bool {
         let out = locked(&self.life_out).as_ref().map(watch::Sender::subscribe);
         let Some(mut life) = out else {
             return false;
         };
-        let taken = life.wait_for(LifeState::takes);
+        let taken = life.wait_for(LifeState::admits);
         let got = tokio::time::timeout_at(until.into(), taken).await;
         matches!(got, Ok(Ok(_)))
     }
@@ -128,6 +150,7 @@
         }
     }
 
+    /// Hands engines that have room to those that wait.
     pub fn pump(&self) {
         let next = locked(&self.sched).pump(self.now());
         self.hand_out(next);
--- a/crates/request-proxy/src/app/trial.rs
+++ b/crates/request-proxy/src/app/trial.rs
@@ -6,8 +6,9 @@
 
 /// A turn's place in the trial.
 #[derive(Debug, Clone)]
-pub struct Seat {
+pub struct TrialPlacement {
     key: u64,
+    /// The arm it is on.
     pub arm: Arm,
     bucket: usize,
     route: Arc<str>,
@@ -16,9 +17,10 @@
     due: Instant,
 }
 
-impl Seat {
-    pub fn policy(seat: Option<&Seat>) -> Policy {
-        match seat {
+impl TrialPlacement {
+    /// The policy that a turn with this placement is routed by.
+    pub fn policy(placement: Option<&TrialPlacement>) -> Policy {
+        match placement {
             Some(s) if s.arm == Arm::Candidate => Policy::Trial,
             _ => Policy::Current,
         }
@@ -46,27 +48,28 @@
     incarnation: u64,
     live: Mutex<Option<Arc<LiveTrial>>>,
     report: Mutex<Option<NodeReport>>,
-    word: watch::Sender<Option<Vec<NodeReport>>>,
+    reports: watch::Sender<Option<Vec<NodeReport>>>,
     running: watch::Sender<bool>,
 }
 
 const REPORT_EVERY: Duration = Duration::from_secs(1);
 
 impl TrialDesk {
+    /// A desk that knows of no trial.
     pub fn new(node: &str) -> Self {
         TrialDesk {
             node: node.into(),
             incarnation: fastrand::u64(1..),
             live: Mutex::new(None),
             report: Mutex::new(None),
-            word: watch::channel(None).0,
+            reports: watch::channel(None).0,
             running: watch::channel(false).0,
         }
     }
 
-    /// What the agent is told.
-    pub fn words(&self) -> watch::Receiver<Option<Vec<NodeReport>>> {
-        self.word.subscribe()
+    /// The status reports that the agent carries on.
+    pub fn reports(&self) -> watch::Receiver<Option<Vec<NodeReport>>> {
+        self.reports.subscribe()
     }
 
     /// The trial this proxy knows: its key, and whether it runs.
@@ -91,9 +94,13 @@
 
     /// The mark that the turn's record is to carry, and its place in the trial that this proxy knows.
     /// A turn that goes on from another has the mark of that one or none; a turn that begins a
-    /// conversation gets one while a trial takes them in. `last` is what the record before says of its
+    /// conversation gets one while a trial admits them. `last` is what the record before says of its
     /// engine.
-    pub fn seat(&self, job: &Job<'_>, last: Option<&str>) -> (Option<Mark>, Option<Seat>) {
+    pub fn placement(
+        &self,
+        job: &Job<'_>,
+        last: Option<&str>,
+    ) -> (Option<Mark>, Option<TrialPlacement>) {
         let carried = last.and_then(|t| read_answered_by(t).1);
         let Some(live) = locked(&self.live).clone() else {
             return (carried, None);
@@ -109,9 +116,9 @@
             Some(_) => carried,
             None => {
                 let spec = &live.record.spec;
-                let takes_in = live.record.is_running() && live.since.elapsed() >= spec.lead_in;
+                let admits = live.record.is_running() && live.since.elapsed() >= spec.lead_in;
                 let arm = arm_of(live.key, program, spec.share);
-                takes_in.then_some(Mark { key: live.key, arm })
+                admits.then_some(Mark { key: live.key, arm })
             }
         };
         let Some(m) = mark.filter(|m| m.key == live.key) else {
@@ -122,7 +129,7 @@
                 r.began(m.arm, bucket);
             }
         }
-        let seat = Seat {
+        let placement = TrialPlacement {
             key: m.key,
             arm: m.arm,
             bucket,
@@ -130,11 +137,11 @@
             protected: live.record.spec.guard.protects(&job.route.name, job.route.priority),
             due: job.began + job.route.aim,
         };
-        (mark, Some(seat))
+        (mark, Some(placement))
     }
 
     /// A turn has come to its end; `holes` tells that it was given as whole and lacked events.
-    pub fn count(&self, s: &Seat, came: Outcome, holes: bool) {
+    pub fn count(&self, s: &TrialPlacement, came: Outcome, holes: bool) {
         let Some(live) = locked(&self.live).clone() else {
             return;
         };
@@ -148,10 +155,10 @@
     }
 
     /// A turn that ended before its stream began; relayed ones are counted at their end.
-    pub fn answered(&self, s: &Seat, res: &Result<Response<ProxyBody>, OwnAnswer>) {
+    pub fn answered(&self, s: &TrialPlacement, res: &Result<Response<ProxyBody>, OwnAnswer>) {
         match res {
             Ok(r) if r.status().is_server_error() => self.count(s, Outcome::Broken, false),
-            Err(OwnAnswer::Shed { .. }) => self.count(s, Outcome::Refused, false),
+            Err(OwnAnswer::Refused { .. }) => self.count(s, Outcome::Refused, false),
             Err(OwnAnswer::Lost(_) | OwnAnswer::Late) => self.count(s, Outcome::Broken, false),
             _ => {}
         }
@@ -169,7 +176,7 @@
         if let Some(r) = &mut *report {
             r.seq += 1;
             r.inversions = inversions;
-            self.word.send_replace(Some(vec![r.clone()]));
+            self.reports.send_replace(Some(vec![r.clone()]));
         }
     }
 }
@@ -181,7 +188,7 @@
         self.trial.tell(inversions);
     }
 
-    pub(super) fn trial_news(&self, record: &TrialRecord) {
+    pub(super) fn learn_trial(&self, record: &TrialRecord) {
         let how = match (record.is_running(), record.keeps_arms()) {
             (true, _) => "runs",
             (false, true) => "has ended, conversations finish on their arm",
--- a/crates/request-proxy/src/door/answers.rs
+++ b/crates/request-proxy/src/door/answers.rs
@@ -4,7 +4,9 @@
 
 /// What an answer's body is: known whole, or relayed as it comes.
 pub enum ProxyBody {
+    /// Known whole; none when it has been given.
     Whole(Option<Bytes>),
+    /// A stream, as its events come.
     Relay(Box<RelayBody>),
 }
 
@@ -43,6 +45,7 @@
     }
 }
 
+/// An answer that the proxy gives itself.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OwnAnswer {
     /// 400: the head or body can't be read.
@@ -56,7 +59,12 @@
     /// 413: the body is larger than allowed.
     TooLarge,
     /// 503: not run; come back after this.
-    Shed { after: Duration, why: &'static str },
+    Refused {
+        /// When to come back.
+        after: Duration,
+        /// What the body says.
+        why: &'static str,
+    },
     /// 502: it may have run, and there is no answer to give.
     Lost(&'static str),
     /// 504: its time is over; it may have run.
@@ -64,10 +72,12 @@
 }
 
 impl OwnAnswer {
-    pub fn shed(ms: u64, why: &'static str) -> Self {
-        OwnAnswer::Shed { after: Duration::from_millis(ms), why }
+    /// A refusal, with the time after which to come back.
+    pub fn refused(ms: u64, why: &'static str) -> Self {
+        OwnAnswer::Refused { after: Duration::from_millis(ms), why }
     }
 
+    /// The answer as the client gets it.
     pub fn into_response(self, request_id: Option<&str>) -> Response<ProxyBody> {
         let (status, text) = match &self {
             OwnAnswer::Unreadable(t) => (400, t.as_str()),
@@ -75,7 +85,7 @@
             OwnAnswer::NoTurn => (404, "no such turn"),
             OwnAnswer::Spent => (402, "the token budget is spent"),
             OwnAnswer::TooLarge => (413, "the body is too large"),
-            OwnAnswer::Shed { why, .. } => (503, *why),
+            OwnAnswer::Refused { why, .. } => (503, *why),
             OwnAnswer::Lost(why) => (502, *why),
             OwnAnswer::Late => (504, "its time is over"),
         };
@@ -84,7 +94,7 @@
         *r.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
         let h = r.headers_mut();
         h.insert("content-type", HeaderValue::from_static("application/json"));
-        if let OwnAnswer::Shed { after, .. } = self {
+        if let OwnAnswer::Refused { after, .. } = self {
             let s = format!("{:.3}", after.as_secs_f64().max(0.02));
             if let Ok(v) = HeaderValue::from_str(&s) {
                 h.insert("retry-after", v);
--- a/crates/request-proxy/src/door/head.rs
+++ b/crates/request-proxy/src/door/head.rs
@@ -4,29 +4,51 @@
 /// Invariant: every number was read whole; text is as the client sent it.
 #[derive(Debug)]
 pub struct Head<'a> {
+    /// The host, as the request names it.
     pub host: &'a str,
+    /// The try's own id.
     pub request_id: &'a str,
-    pub budget: Option<Duration>,
+    /// How long the client will wait.
+    pub deadline: Option<Duration>,
+    /// The model asked for.
     pub model: Option<&'a str>,
     /// Tokens of the prompt, and the most out.
     pub tokens: Option<(u32, u32)>,
+    /// The parts of its prompt, in order.
     pub parts: Vec<Part<'a>>,
+    /// The program it belongs to.
     pub program: Option<&'a str>,
+    /// The session within the program.
     pub session: Option<&'a str>,
+    /// The time left until the program should be over.
     pub finish: Option<Duration>,
     /// What all turns of the program may put out.
     pub allowance: Option<u64>,
+    /// The turn it goes on from.
     pub previous: Option<&'a str>,
 }
 
+/// Why a head can't be read.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum HeadFault {
     #[snafu(display("{name} is missing"))]
-    Missing { name: &'static str },
+    /// A header that every request must have.
+    Missing {
+        /// Its name.
+        name: &'static str,
+    },
     #[snafu(display("{name} can't be read"))]
-    Unreadable { name: &'static str },
+    /// A header whose value has another form.
+    Unreadable {
+        /// Its name.
+        name: &'static str,
+    },
     #[snafu(display("{name} is there twice"))]
-    Twice { name: &'static str },
+    /// A header that may stand there only once.
+    Twice {
+        /// Its name.
+        name: &'static str,
+    },
 }
 
 fn text<'a>(h: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, HeadFault> {
@@ -54,6 +76,7 @@
 }
 
 impl<'a> Head<'a> {
+    /// Reads a head whole, or says what is wrong.
     pub fn read(parts: &'a RequestParts) -> Result<Self, HeadFault> {
         let h = &parts.headers;
         let host = match parts.uri.authority() {
@@ -74,7 +97,7 @@
         Ok(Head {
             host,
             request_id,
-            budget: num(h, names::DEADLINE)?.map(ms),
+            deadline: num(h, names::DEADLINE)?.map(ms),
             model: text(h, names::MODEL)?,
             tokens,
             parts: prefix,
--- a/crates/request-proxy/src/door/mod.rs
+++ b/crates/request-proxy/src/door/mod.rs
@@ -1,4 +1,5 @@
 //! The door: connections, typed heads, and the proxy's own answers.
+#![deny(missing_docs)]
 mod answers;
 mod head;
 mod idle;
--- a/crates/request-proxy/src/flow/mod.rs
+++ b/crates/request-proxy/src/flow/mod.rs
@@ -1,5 +1,6 @@
 //! The way of a request: door, way, opening of its turn, placement, send, relay, closing of its turn.
 //! The stage between opening and sending is the dispatcher's bounded ready queue.
+#![deny(missing_docs)]
 mod place;
 mod plain;
 mod turn;
@@ -9,19 +10,28 @@
 /// What the stages of one request share. Invariant: `until` is never later than what the client and
 /// the operator allow.
 pub struct Job<'a> {
+    /// The proxy.
     pub app: &'a Arc<App>,
+    /// The configuration it was admitted under.
     pub live: &'a Live,
+    /// Its route.
     pub route: &'a Route,
+    /// The service drawn for it.
     pub service: Arc<str>,
+    /// Its head as received.
     pub parts: &'a Arc<RequestParts>,
+    /// Its head as typed values.
     pub head: &'a Head<'a>,
+    /// When its head had been read.
     pub began: Instant,
+    /// When its time is over.
     pub until: Instant,
     /// The turn's place in a routing trial, once its line is known.
-    pub seat: std::sync::OnceLock<Seat>,
+    pub placement: std::sync::OnceLock<TrialPlacement>,
 }
 
 impl Job<'_> {
+    /// Time left.
     pub fn left(&self) -> Duration {
         self.until.saturating_duration_since(Instant::now())
     }
@@ -53,25 +63,27 @@
 /// A request that comes while the proxy starts waits for the snapshot, which is a matter of moments.
 const START_WAIT: Duration = Duration::from_millis(1500);
 
+/// Takes a request through all its stages.
 pub async fn serve(app: &Arc<App>, req: Request<Incoming>) -> Response<ProxyBody> {
     let began = Instant::now();
     let (parts, body) = req.into_parts();
     let parts = Arc::new(parts);
     let id = parts.headers.get(names::REQUEST_ID).and_then(|v| v.to_str().ok());
-    if !app.life().takes() && !app.taken_up(began + START_WAIT).await {
-        return OwnAnswer::shed(300, "not ready yet").into_response(id);
+    if !app.life().admits() && !app.admitted(began + START_WAIT).await {
+        return OwnAnswer::refused(300, "not ready yet").into_response(id);
     }
     let head = match Head::read(&parts) {
         Ok(h) => h,
         Err(e) => return OwnAnswer::Unreadable(e.to_string()).into_response(id),
     };
     let Some(live) = app.live() else {
-        return OwnAnswer::shed(300, "not ready yet").into_response(id);
+        return OwnAnswer::refused(300, "not ready yet").into_response(id);
     };
     let Some(route) = live.routes.find(head.host, parts.uri.path()).cloned() else {
         return OwnAnswer::NoRoute.into_response(id);
     };
-    let time = head.budget.map_or(route.timeout, |b| b.saturating_sub(WAY_BACK).min(route.timeout));
+    let time =
+        head.deadline.map_or(route.timeout, |b| b.saturating_sub(WAY_BACK).min(route.timeout));
     let until = began + time;
     let body = match read_body(body, live.body_bytes, until).await {
         Ok(b) => b,
@@ -87,19 +99,19 @@
         head: &head,
         began,
         until,
-        seat: Default::default(),
+        placement: Default::default(),
     };
     let res = match route.kind {
         RouteKind::Streaming => turn::run(&job, body).await,
         _ => plain::run(&job, body).await,
     };
-    if let Some(s) = job.seat.get() {
+    if let Some(s) = job.placement.get() {
         app.trial.answered(s, &res);
     }
     match res {
         Ok(r) => r,
         Err(a) => {
-            if matches!(a, OwnAnswer::Shed { .. } | OwnAnswer::Lost(_) | OwnAnswer::Late) {
+            if matches!(a, OwnAnswer::Refused { .. } | OwnAnswer::Lost(_) | OwnAnswer::Late) {
                 let ms = began.elapsed().as_millis() as u64;
                 info!("own answer: {:?}", a, kv: { request = head.request_id, route = route.name, after_ms = ms });
             }
@@ -117,6 +129,6 @@
         Ok(Ok(b)) => Ok(b.to_bytes()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(OwnAnswer::TooLarge),
         Ok(Err(_)) => Err(OwnAnswer::Unreadable("the body broke off".into())),
-        Err(_) => Err(OwnAnswer::shed(100, "the body didn't come in time")),
+        Err(_) => Err(OwnAnswer::refused(100, "the body didn't come in time")),
     }
 }
--- a/crates/request-proxy/src/flow/place.rs
+++ b/crates/request-proxy/src/flow/place.rs
@@ -59,7 +59,7 @@
         match sched.place(ask, app.now()) {
             Placed::Go(g) => return Ok(held(g)),
             Placed::Shed(after) => {
-                return Err(OwnAnswer::Shed { after, why: "no engine can take it in time" })
+                return Err(OwnAnswer::Refused { after, why: "no engine can take it in time" })
             }
             Placed::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
@@ -74,13 +74,13 @@
     loop {
         match tokio::time::timeout(LOOK, &mut rx).await {
             Ok(Ok(g)) => return Ok(held(g)),
-            Ok(Err(_)) => return Err(OwnAnswer::shed(100, "no engine can take it in time")),
+            Ok(Err(_)) => return Err(OwnAnswer::refused(100, "no engine can take it in time")),
             Err(_) if Instant::now() >= until => {
                 drop(waiting);
                 if let Ok(g) = rx.try_recv() {
                     return Ok(held(g));
                 }
-                return Err(OwnAnswer::shed(100, "no engine can take it in time"));
+                return Err(OwnAnswer::refused(100, "no engine can take it in time"));
             }
             Err(_) => app.pump(),
         }
--- a/crates/request-proxy/src/flow/plain.rs
+++ b/crates/request-proxy/src/flow/plain.rs
@@ -90,7 +90,7 @@
 }
 
 /// A repeatable request is sent to a second engine when the first stays silent for well beyond what
-/// its work takes; the first goes on by itself, and whichever answers first is heard.
+/// its work takes; the first goes on by itself, and whichever answers first counts.
 fn silent_after(job: &Job<'_>, g: &Grant) -> Duration {
     // Measured by the pool: a slow engine isn't given more time for being slow.
     let work = locked(&job.app.sched).evidence.expected_work(&g.service);
@@ -132,7 +132,7 @@
             Err(a) => return Err(lost.map_or(a, OwnAnswer::Lost)),
         };
         let Some(g) = held.grant().cloned() else {
-            return Err(OwnAnswer::shed(100, "no engine can take it in time"));
+            return Err(OwnAnswer::refused(100, "no engine can take it in time"));
         };
         if tried.is_empty() {
             locked(&app.sched).evidence.first_send(&job.service, app.now());
@@ -187,7 +187,7 @@
         if over || job.left() < Duration::from_millis(10) {
             return Err(match lost {
                 Some(why) => OwnAnswer::Lost(why),
-                None => OwnAnswer::shed(80, "the engines are full"),
+                None => OwnAnswer::refused(80, "the engines are full"),
             });
         }
     }
--- a/crates/request-proxy/src/flow/turn.rs
+++ b/crates/request-proxy/src/flow/turn.rs
@@ -29,12 +29,16 @@
     blocks: Vec<Block>,
     program: &'a str,
     /// Its place in a routing trial, asked for once, when its line is known.
-    seat: std::sync::OnceLock<(Option<Mark>, Option<Seat>)>,
+    placement: std::sync::OnceLock<(Option<Mark>, Option<TrialPlacement>)>,
 }
 
 impl Turn<'_> {
-    fn seat(&self, job: &Job<'_>, last: Option<&Arc<TurnRecord>>) -> &(Option<Mark>, Option<Seat>) {
-        self.seat.get_or_init(|| job.app.trial.seat(job, last.map(|t| t.engine.as_str())))
+    fn placement(
+        &self,
+        job: &Job<'_>,
+        last: Option<&Arc<TurnRecord>>,
+    ) -> &(Option<Mark>, Option<TrialPlacement>) {
+        self.placement.get_or_init(|| job.app.trial.placement(job, last.map(|t| t.engine.as_str())))
     }
 }
 
@@ -50,7 +54,7 @@
         tokens,
         blocks,
         program: head.program.unwrap_or(""),
-        seat: Default::default(),
+        placement: Default::default(),
     };
     let mut opened = Opened::default();
     let mut early = None;
@@ -108,8 +112,10 @@
     got.map_err(|f| match f {
         OpenFault::Spent => OwnAnswer::Spent,
         OpenFault::NoTurn => OwnAnswer::NoTurn,
-        OpenFault::Capacity => OwnAnswer::shed(300, "too many attempts of this line hold a slot"),
-        OpenFault::Unsure => OwnAnswer::shed(200, "too few stores answer"),
+        OpenFault::Capacity => {
+            OwnAnswer::refused(300, "too many attempts of this line hold a slot")
+        }
+        OpenFault::Unsure => OwnAnswer::refused(200, "too few stores answer"),
     })
 }
 
@@ -135,7 +141,7 @@
     tried: &[EngineKey],
 ) -> Ask {
     let engine = job.live.services.get(&*job.service).and_then(|s| s.engine.as_ref());
-    let (_, seat) = turn.seat(job, last);
+    let (_, placement) = turn.placement(job, last);
     Ask {
         service: job.service.clone(),
         blocks: turn.blocks.clone(),
@@ -150,7 +156,7 @@
         budget: job.left(),
         tried: tried.to_vec(),
         may_probe: job.route.priority > 0,
-        policy: Seat::policy(seat.as_ref()),
+        policy: TrialPlacement::policy(placement.as_ref()),
     }
 }
 
@@ -164,9 +170,9 @@
 ) -> Result<Response<ProxyBody>, OwnAnswer> {
     let (app, head) = (job.app, job.head);
     let last = opened.chain.last();
-    let (mark, seat) = turn.seat(job, last).clone();
-    if let Some(s) = &seat {
-        let _ = job.seat.set(s.clone());
+    let (mark, placement) = turn.placement(job, last).clone();
+    if let Some(s) = &placement {
+        let _ = job.placement.set(s.clone());
     }
     let mut tried: Vec<EngineKey> = Vec::new();
     let mut sends = 0;
@@ -177,14 +183,14 @@
             None => place(job, ask_of(job, turn, last, &tried)).await?,
         };
         let Some(g) = held.grant().cloned() else {
-            return Err(OwnAnswer::shed(100, "no engine can take it in time"));
+            return Err(OwnAnswer::refused(100, "no engine can take it in time"));
         };
         if let Some(c) = &mut attempt.claim {
             // The claim carried the marker of the engine that was chosen before it.
             let carried = sends + unreached == 0
                 && c.call.as_ref().is_some_and(|c| c.at.1 == 1 && *c.engine == *g.id);
             if !carried && !app.bank.mark(c, &g.id).await {
-                return Err(OwnAnswer::shed(200, "too few stores answer"));
+                return Err(OwnAnswer::refused(200, "too few stores answer"));
             }
         }
         debug!(
@@ -264,7 +270,7 @@
                     // From here on the relay holds it.
                     claim: attempt.claim.take(),
                     keep_alive: ka,
-                    seat,
+                    placement,
                 };
                 *r.body_mut() = ProxyBody::Relay(Box::new(RelayBody::new(inner, lease, end)));
                 return Ok(r);
@@ -294,7 +300,7 @@
         }
         let over = sends >= job.route.most_sends || unreached >= 4;
         if over || job.left() < Duration::from_millis(20) {
-            return Err(OwnAnswer::shed(80, "the engines are full"));
+            return Err(OwnAnswer::refused(80, "the engines are full"));
         }
     }
 }
--- a/crates/request-proxy/src/life/machine.rs
+++ b/crates/request-proxy/src/life/machine.rs
@@ -3,16 +3,20 @@
 use statig::prelude::Response;
 use statig::Response::{Handled, Transition};
 
+/// What happens to a proxy's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LifeEvent {
     /// A snapshot confirmed by a majority is here, with a configuration in it.
     Current,
+    /// The platform ends it.
     Term,
     /// The entry no longer sends new connections.
     Unlisted,
+    /// All that was under way has ended.
     Done,
 }
 
+/// The machine; its states hold nothing.
 #[derive(Default)]
 pub struct Life;
 
@@ -64,23 +68,27 @@
 pub use State as LifeState;
 
 impl LifeState {
+    /// The first state.
     pub fn first() -> Self {
         State::Starting {}
     }
 
+    /// The state in which idle connections are closed.
     pub fn closing_now() -> Self {
         State::Closing {}
     }
 
+    /// The entry may send new connections.
     pub fn ready(&self) -> bool {
         matches!(self, State::Serving {})
     }
 
-    /// Requests may be taken.
-    pub fn takes(&self) -> bool {
+    /// Requests are admitted.
+    pub fn admits(&self) -> bool {
         matches!(self, State::Serving {} | State::Unlisting {} | State::Closing {})
     }
 
+    /// Each answer closes its connection.
     pub fn leaving(&self) -> bool {
         !matches!(self, State::Starting {} | State::Serving {})
     }
--- a/crates/request-proxy/src/life/mod.rs
+++ b/crates/request-proxy/src/life/mod.rs
@@ -1,4 +1,7 @@
 //! The life of a proxy, as a statig machine, and its end in order.
+#![deny(missing_docs)]
+// statig writes the enum of the states; their meaning stands on its functions.
+#[allow(missing_docs)]
 mod machine;
 
 pub use machine::{Life, LifeEvent, LifeState};
--- a/crates/request-proxy/src/prelude.rs
+++ b/crates/request-proxy/src/prelude.rs
@@ -1,5 +1,5 @@
 //! The one module every file of this package imports.
-pub use crate::app::{App, Live, Seat, TrialDesk};
+pub use crate::app::{App, Live, TrialDesk, TrialPlacement};
 pub use crate::door::{Head, HeadFault, OwnAnswer, ProxyBody};
 pub use crate::life::{Life, LifeEvent, LifeState};
 pub use crate::relay::{EventFault, EventReader, RelayBody};
--- a/crates/request-proxy/src/relay/body.rs
+++ b/crates/request-proxy/src/relay/body.rs
@@ -6,25 +6,36 @@
 
 /// What is known of the turn behind a stream.
 pub struct StreamEnd {
+    /// The proxy.
     pub app: Arc<App>,
+    /// The engine's slot, held until the stream ends.
     pub grant: Grant,
+    /// The turn's session.
     pub session: Option<Arc<str>>,
+    /// The blocks of its prompt.
     pub blocks: Vec<Block>,
+    /// How long the turn is kept.
     pub retention: Duration,
+    /// Tokens in each event.
     pub stride: u32,
+    /// When it was sent to its engine.
     pub sent_at: Instant,
     /// The longest pause between events that keeps the answer in time.
     pub gap_aim: Duration,
+    /// When its time is over.
     pub until: Instant,
+    /// Few others ran at its engine from here.
     pub alone: bool,
+    /// The request's id.
     pub request_id: String,
     /// The turn to keep, where the route retains turns.
     pub turn: Option<TurnClose>,
     /// The turn's attempt, held until its result.
     pub claim: Option<Claim>,
+    /// What the engine said of keeping the connection.
     pub keep_alive: Option<Duration>,
     /// The turn's place in a routing trial.
-    pub seat: Option<Seat>,
+    pub placement: Option<TrialPlacement>,
 }
 
 type Closing = Pin<Box<dyn Future<Output = bool> + Send>>;
@@ -77,6 +88,7 @@
 const CLOSE_MORE: Duration = Duration::from_millis(600);
 
 impl RelayBody {
+    /// A stream that begins now.
     pub fn new(inner: Incoming, lease: Lease, end: StreamEnd) -> Self {
         let timer = Box::pin(tokio::time::sleep_until(end.until.into()));
         RelayBody {
@@ -93,6 +105,7 @@
         }
     }
 
+    /// The next whole events, the end, or a break.
     pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, ()>>> {
         loop {
             match &mut self.stage {
@@ -187,7 +200,7 @@
 
     /// Counts the turn in a routing trial, once.
     fn came_to(&mut self, whole: bool) {
-        let Some(s) = self.end.seat.take() else {
+        let Some(s) = self.end.placement.take() else {
             return;
         };
         let came = if whole { s.in_time(self.first_at) } else { Outcome::Broken };
@@ -270,7 +283,7 @@
 
 impl Drop for RelayBody {
     fn drop(&mut self) {
-        if let Some(s) = self.end.seat.take() {
+        if let Some(s) = self.end.placement.take() {
             self.end.app.trial.count(&s, Outcome::Left, false);
         }
         self.drop_all();
--- a/crates/request-proxy/src/relay/events.rs
+++ b/crates/request-proxy/src/relay/events.rs
@@ -1,12 +1,14 @@
 //! Reads a series of events: whole ones pass, their data is kept for the turn's record.
 use crate::prelude::*;
 
+/// Why bytes are no proper series of events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventFault {
     /// An id that doesn't rise.
     Order,
     /// Bytes that are no event.
     NoEvent,
+    /// An event larger than any engine sends.
     TooLong,
 }
 
@@ -18,7 +20,9 @@
     step: Option<u64>,
     /// Places where ids rose by another step than at first: events in between are missing.
     pub holes: u32,
+    /// Events with data passed so far.
     pub events: u32,
+    /// The data of all events passed, each with a line feed.
     pub output: Vec<u8>,
 }
 
--- a/crates/request-proxy/src/relay/mod.rs
+++ b/crates/request-proxy/src/relay/mod.rs
@@ -1,4 +1,5 @@
 //! Relaying a stream of events as they come.
+#![deny(missing_docs)]
 mod body;
 mod events;
 
--- a/crates/request-proxy/src/sending/mod.rs
+++ b/crates/request-proxy/src/sending/mod.rs
@@ -1,4 +1,5 @@
 //! Sending to an engine, over connections of the proxy's own.
+#![deny(missing_docs)]
 mod heads;
 mod judge;
 mod pool;
--- a/crates/request-proxy/tests/door.rs
+++ b/crates/request-proxy/tests/door.rs
@@ -24,7 +24,7 @@
     assert_eq!((h.host, h.request_id, h.previous), ("h.example", "9c41", Some("40c8")));
     assert_eq!(h.tokens, Some((1460, 80)));
     assert_eq!(h.parts.len(), 3);
-    assert_eq!(h.budget, Some(Duration::from_secs(6)));
+    assert_eq!(h.deadline, Some(Duration::from_secs(6)));
     assert_eq!(h.allowance, Some(1088));
 }
 
--- a/crates/request-proxy/tests/life.rs
+++ b/crates/request-proxy/tests/life.rs
@@ -19,7 +19,7 @@
     ] {
         m.handle(&ev);
         let s = m.state();
-        seen.push((s.ready(), s.takes(), s.listens()));
+        seen.push((s.ready(), s.admits(), s.listens()));
     }
     let no = (false, false, true);
     let on = (true, true, true);
--- a/crates/stand-ins/tests/repeats.rs
+++ b/crates/stand-ins/tests/repeats.rs
@@ -287,6 +287,39 @@
     }
 }
 
+/// A listener whose queue is full: whoever connects now waits without an answer.
+async fn full_listener() -> (tokio::net::TcpListener, Vec<TcpStream>) {
+    let socket = tokio::net::TcpSocket::new_v4().unwrap();
+    socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+    let listener = socket.listen(1).unwrap();
+    let addr = listener.local_addr().unwrap();
+    let mut waiting = Vec::new();
+    let moment = Duration::from_millis(100);
+    while let Ok(Ok(s)) = tokio::time::timeout(moment, TcpStream::connect(addr)).await {
+        waiting.push(s);
+    }
+    (listener, waiting)
+}
+
+#[tokio::test]
+async fn an_engine_that_takes_no_connection_in_time_has_run_nothing() {
+    let (full, _waiting) = full_listener().await;
+    let b = engine("i-b").await;
+    let known = [("i-full", full.local_addr().unwrap()), ("i-b", b.addr)];
+    let p = Proxy::start("connect-time", &known).await;
+    let mut longest = Duration::ZERO;
+    let mut n = 0;
+    // Until the one that takes none was asked: only that takes so long.
+    while longest < Duration::from_millis(300) && n < 50 {
+        n += 1;
+        let (id, began) = (format!("w{n}"), Instant::now());
+        assert_eq!(p.call(&id, "/w/a", b"x").await.status, 200);
+        assert_eq!(b.runs_of(&id), 1);
+        longest = longest.max(began.elapsed());
+    }
+    assert!(longest >= Duration::from_millis(300), "never asked");
+}
+
 #[tokio::test]
 async fn a_failure_that_promises_what_the_engine_did_not_say_is_not_passed_on() {
     for status in [503, 429, 408] {
