--- a/crates/request-proxy/src/app/feed.rs
+++ b/crates/request-proxy/src/app/feed.rs
@@ -1,8 +1,9 @@
-//! News from the agent beside, and regular housekeeping.
+//! Updates from the agent beside, and regular housekeeping.
 use super::locked;
 use crate::prelude::*;
 use node_base::settings::AGENT_PORT;
 
+/// Follows the feed of the agent beside and applies it.
 pub fn follow_agent(app: &Arc<App>) {
     let (tx, mut rx) = mpsc::channel(256);
     let settings = app.settings.now();
@@ -15,7 +16,7 @@
         silence: Duration::from_secs(3600),
         repeat: Duration::from_secs(3600),
     };
-    tokio::spawn(follow_cells(follow, tx, app.trial.words()));
+    tokio::spawn(follow_cells(follow, tx, app.trial.reports()));
     let app = app.clone();
     tokio::spawn(async move {
         let mut view = FeedView::default();
@@ -23,7 +24,7 @@
             let News::Items(items) = n else { continue };
             for item in items {
                 if view.take(&item) {
-                    app.news(&item);
+                    app.apply_update(&item);
                 }
             }
             if view.current && view.config.is_some() && app.live().is_some() {
@@ -33,6 +34,7 @@
     });
 }
 
+/// Housekeeping: leases at the stores, notes, old connections and index entries.
 pub fn sweep_regularly(app: &Arc<App>) {
     let bank = app.bank.clone();
     tokio::spawn(async move {
@@ -54,7 +56,8 @@
 }
 
 impl App {
-    fn news(&self, item: &FeedItem) {
+    /// Takes one item of the feed into what requests are served by.
+    pub fn apply_update(&self, item: &FeedItem) {
         match item {
             FeedItem::Config { version, body, .. } => match check_config(body) {
                 Ok(cfg) => {
@@ -68,6 +71,7 @@
                             .collect(),
                         header_bytes: cfg.limits.header_bytes,
                         body_bytes: cfg.limits.body_bytes,
+                        header_time: cfg.limits.header_time,
                         idle_time: cfg.limits.idle_time,
                     };
                     info!("configuration {} in force", version);
@@ -83,7 +87,7 @@
                 drop(sched);
                 self.pump();
             }
-            FeedItem::Trial { trial, .. } => self.trial_news(trial),
+            FeedItem::Trial { trial, .. } => self.learn_trial(trial),
             FeedItem::ConfigPatch { .. }
             | FeedItem::Cells { .. }
             | FeedItem::Current
--- a/crates/request-proxy/src/door/mod.rs
+++ b/crates/request-proxy/src/door/mod.rs
@@ -1,6 +1,8 @@
 //! The door: connections, typed heads, and the proxy's own answers.
+#![deny(missing_docs)]
 mod answers;
 mod head;
+mod idle;
 mod serve;
 
 pub use answers::{OwnAnswer, ProxyBody};
