--- a/crates/control-cell/src/actor/lead.rs
+++ b/crates/control-cell/src/actor/lead.rs
@@ -153,20 +153,14 @@
         reply: oneshot::Sender<CellReply>,
     ) -> bool {
         let set = &self.state.stores;
-        let found = set.stores.iter().find(|s| s.name == store).map(|s| s.state);
-        let known = set.emptied.contains(&store);
-        let state = match found {
-            Some(StoreState::Leaving) => RetireState::Running,
-            Some(_) if ask_only => RetireState::Unknown,
-            Some(_) if !may_retire(set) => RetireState::TooFew,
-            Some(_) => {
-                let base = set.version;
-                let next = set.next(|n| {
-                    for s in n.stores.iter_mut().filter(|s| s.name == store) {
-                        s.state = StoreState::Leaving;
-                        s.since = base + 1;
-                    }
-                });
+        let known = set.stores.iter().any(|s| s.name == store);
+        let state = match set.retirement(&store) {
+            Some(Retirement::Running) => RetireState::Running,
+            Some(Retirement::Completed) => RetireState::Completed,
+            None if ask_only || !known => RetireState::Unknown,
+            None if !may_retire(set) => RetireState::TooFew,
+            None => {
+                let (base, next) = (set.version, set.begin_retirement(&store));
                 let change = Change::PutStores { base, set: next };
                 let body = Body::Command(ByteBuf::from(encode(&change).to_vec()));
                 let (tx, rx) = oneshot::channel();
@@ -181,8 +175,6 @@
                 });
                 return self.propose(body, Some(tx));
             }
-            None if known => RetireState::Completed,
-            None => RetireState::Unknown,
         };
         let _ = reply.send(CellReply::Retire(state));
         true
--- a/crates/control-cell/src/duties/stores.rs
+++ b/crates/control-cell/src/duties/stores.rs
@@ -1,18 +1,20 @@
-//! Which stores have seats. From one seating to the next at most one store comes to a program's group,
-//! and a planned step is taken only once all that are at work are whole under the one before.
+//! Which stores are placed. From one placement to the next at most one store comes to a program's group,
+//! and a planned step is taken only once every placed store is proved to be caught up under the one
+//! before: a status report names versions that are on the store's disk, so an old one proves no more
+//! than it says. Each step records in the set what the reports prove.
 use crate::prelude::*;
 
-/// What the leader has seen of a store: its newest word, and how long ago.
+/// What the leader has seen of a store: its newest status report, and how long ago.
 #[derive(Debug, Clone)]
 pub struct StoreObservation {
     pub status: StoreStatus,
     pub silent: Duration,
 }
 
-/// Silence after which a newcomer of its zone takes its place.
+/// Silence after which a newcomer of its zone replaces a store.
 const REPLACED: Duration = Duration::from_millis(1500);
-/// Silence after which a store is given up with nobody in its place.
-const GONE: Duration = Duration::from_secs(20);
+/// Silence after which a store is given up without a successor. It comes back as one more.
+const GONE: Duration = Duration::from_secs(10);
 /// A store is at work when it was heard within this.
 const AT_WORK: Duration = Duration::from_millis(1500);
 /// A store may be added only while every other was heard within this: one that is silent for longer may
@@ -21,17 +23,26 @@
 /// How long the first leader waits for stores before it founds the set.
 const FOUNDING: Duration = Duration::from_millis(1500);
 
-fn entry(s: &StoreStatus, since: u64) -> StoreEntry {
+fn entry(s: &StoreStatus, since: u64, rank: u64) -> StoreEntry {
     StoreEntry {
         id: s.id,
         name: s.name.clone(),
         addr: s.addr.clone(),
         zone: s.zone.clone(),
-        state: StoreState::Seated,
+        state: StoreState::Placed,
         since,
+        rank,
     }
 }
 
+/// What the leader goes by.
+struct Observed<'a> {
+    set: &'a StoreSet,
+    seen: &'a [StoreObservation],
+    /// How long this leader has led and could have heard of everybody.
+    calm: Duration,
+}
+
 /// The next set, if one is due. `calm` is how long this leader has led and heard everybody; `tolerated`
 /// how many stores may be lost at once.
 pub fn next_stores(
@@ -40,75 +51,173 @@
     calm: Duration,
     tolerated: u32,
 ) -> Option<StoreSet> {
-    let since = set.version + 1;
+    let observed = Observed { set, seen, calm };
     if set.stores.is_empty() && set.version == 0 {
-        let founders: Vec<&StoreObservation> = seen.iter().filter(|s| !s.status.fresh).collect();
-        if founders.is_empty() || calm < FOUNDING {
+        return observed.founded(tolerated);
+    }
+    let arrival = || observed.heard().find_map(|s| observed.taken_in(&s.status));
+    arrival()
+        .or_else(|| observed.without_a_dead_store())
+        .or_else(|| observed.without_the_leaving())
+        .or_else(|| observed.with_one_leaving())
+}
+
+impl Observed<'_> {
+    fn founded(&self, tolerated: u32) -> Option<StoreSet> {
+        let founders: Vec<&StoreObservation> =
+            self.seen.iter().filter(|s| !s.status.fresh).collect();
+        if founders.is_empty() || self.calm < FOUNDING {
             return None;
         }
-        return Some(set.next(|n| {
+        Some(self.set.next(|n| {
             n.tolerated = tolerated;
-            n.stores = founders.iter().map(|s| entry(&s.status, since)).collect();
+            let placed = |s: &StoreStatus| entry(s, n.version, fnv64(s.name.as_bytes()));
+            n.stores = founders.iter().map(|s| placed(&s.status)).collect();
             n.stores.sort_by(|a, b| a.name.cmp(&b.name));
-        }));
+        }))
     }
-    let sight = |id: u64| seen.iter().find(|s| s.status.id == id);
-    let silent = |id: u64| sight(id).map_or(calm, |s| s.silent.min(calm));
-    let settled = all_whole(set, seen, calm);
-
-    for s in seen.iter().filter(|s| s.silent < AT_WORK) {
-        let st = &s.status;
-        if set.find(st.id).is_some() || set.emptied.contains(&st.name) {
-            continue;
+
+    /// The next set, with what the reports prove recorded before `f` changes anything.
+    fn step(&self, f: impl FnOnce(&mut StoreSet)) -> StoreSet {
+        self.set.next(|n| {
+            for s in self.seen {
+                if let Some(span) = s.status.caught_up {
+                    n.record_caught_up(s.status.id, span);
+                }
+            }
+            f(n);
+        })
+    }
+
+    fn observation(&self, id: u64) -> Option<&StoreObservation> {
+        self.seen.iter().find(|s| s.status.id == id)
+    }
+
+    fn silent(&self, id: u64) -> Duration {
+        self.observation(id).map_or(self.calm, |s| s.silent.min(self.calm))
+    }
+
+    /// Stores at work.
+    fn heard(&self) -> impl Iterator<Item = &StoreObservation> {
+        self.seen.iter().filter(|s| s.silent < AT_WORK)
+    }
+
+    /// Takes in a store that the set doesn't have.
+    fn taken_in(&self, status: &StoreStatus) -> Option<StoreSet> {
+        let set = self.set;
+        let known = set.find(status.id).is_some() || set.superseded.contains(&status.id);
+        if known || status.ending {
+            return None;
         }
-        // A store that lost its disk takes its own seat anew; one at another address that of a silent
-        // one in its zone.
-        let old =
-            set.stores.iter().find(|e| e.name == st.name || e.addr == st.addr).or_else(|| {
-                set.stores.iter().find(|e| e.zone == st.zone && silent(e.id) > REPLACED)
-            });
-        let heard = set.stores.iter().all(|e| silent(e.id) < ALL_HEARD);
-        if old.is_none() && !(settled && heard) {
-            continue;
+        if set.retirement(&status.name).is_some() {
+            return self.without_the_lost_disk(status);
         }
-        let gone = old.map(|e| e.id);
-        return Some(set.next(|n| {
-            n.stores.retain(|e| Some(e.id) != gone);
-            n.stores.push(entry(st, since));
-        }));
-    }
-    if set.seated() > set.group_size() {
-        if let Some(e) = set.stores.iter().find(|e| silent(e.id) > GONE) {
-            return Some(set.next(|n| n.stores.retain(|x| x.id != e.id)));
+        if let Some(old) = self.predecessor(status) {
+            let drains = old.addr != status.addr && self.silent(old.id) < AT_WORK;
+            return Some(self.succeeded(old, status, drains));
+        }
+        let all_heard = set.stores.iter().all(|e| self.silent(e.id) < ALL_HEARD);
+        if !(self.all_caught_up() && all_heard) {
+            return None;
         }
+        let rank = set.free_rank(&status.name);
+        Some(self.step(|n| n.stores.push(entry(status, n.version, rank))))
     }
-    // Emptied: whatever it kept is whole with others.
-    if let Some(e) = set.stores.iter().find(|e| settled && e.state == StoreState::Leaving) {
-        return Some(set.next(|n| {
-            n.stores.retain(|x| x.id != e.id);
-            n.emptied.push(e.name.clone());
-        }));
+
+    /// Whose place a newcomer takes: that of its own lost disk or of the machine whose name it bears, of
+    /// one at its address, or of a silent one in its zone.
+    fn predecessor(&self, status: &StoreStatus) -> Option<&StoreEntry> {
+        let placed = || self.set.stores.iter().filter(|e| e.state == StoreState::Placed);
+        let silent = |e: &&StoreEntry| e.zone == status.zone && self.silent(e.id) > REPLACED;
+        let named = placed().find(|e| e.name == status.name || e.addr == status.addr);
+        named.or_else(|| self.set.stores.iter().find(silent))
     }
-    None
-}
 
-/// All stores at work are whole under this set; those that are silent are no more than may be lost.
-fn all_whole(set: &StoreSet, seen: &[StoreObservation], calm: Duration) -> bool {
-    let mut missing = 0;
-    for e in set.stores.iter().filter(|e| e.state == StoreState::Seated) {
-        match seen.iter().find(|s| s.status.id == e.id) {
-            Some(s) if s.silent < AT_WORK => {
-                if s.status.whole < set.version {
-                    return false;
-                }
+    /// A newcomer takes the place of `old`, which transfers what it holds where it `drains` beside it.
+    fn succeeded(&self, old: &StoreEntry, status: &StoreStatus, drains: bool) -> StoreSet {
+        // The rank of one that is leaving may belong to another already.
+        let rank = match old.state {
+            StoreState::Placed => old.rank,
+            StoreState::Leaving => self.set.free_rank(&status.name),
+        };
+        self.step(|n| {
+            let since = n.version;
+            if old.name == status.name || old.addr == status.addr {
+                n.superseded.insert(old.id);
             }
-            _ => missing += 1,
+            match n.stores.iter_mut().find(|e| e.id == old.id) {
+                Some(e) if drains => (e.state, e.since) = (StoreState::Leaving, since),
+                _ => n.stores.retain(|e| e.id != old.id),
+            }
+            n.stores.push(entry(status, since, rank));
+        })
+    }
+
+    /// A machine that is being retired lost its disk: the order holds, and the machine isn't taken in.
+    fn without_the_lost_disk(&self, status: &StoreStatus) -> Option<StoreSet> {
+        let old = self.set.stores.iter().find(|e| e.name == status.name)?;
+        if old.addr != status.addr && self.silent(old.id) < AT_WORK {
+            return None;
+        }
+        let lost = old.id;
+        Some(self.step(|n| n.stores.retain(|e| e.id != lost)))
+    }
+
+    /// Gives up a store that stays silent; one that is placed only where a group's worth of others is.
+    fn without_a_dead_store(&self) -> Option<StoreSet> {
+        let spare = self.set.placed() > self.set.group_size();
+        let may_go = |e: &&StoreEntry| spare || e.state == StoreState::Leaving;
+        let dead = |e: &&StoreEntry| {
+            let ended = self.observation(e.id).is_some_and(|s| s.status.ending);
+            self.silent(e.id) > if ended { REPLACED } else { GONE }
+        };
+        let dead = self.set.stores.iter().filter(may_go).find(dead)?.id;
+        Some(self.step(|n| n.stores.retain(|e| e.id != dead)))
+    }
+
+    /// Lets the leaving stores go, and completes retirements, once all that they held is with the groups
+    /// that keep their programs now.
+    fn without_the_leaving(&self) -> Option<StoreSet> {
+        let leaving = self.set.stores.iter().any(|e| e.state == StoreState::Leaving);
+        let ordered = self.set.retirements.values().any(|r| *r == Retirement::Running);
+        if !(leaving || ordered) || !self.all_caught_up() {
+            return None;
+        }
+        Some(self.step(|n| {
+            n.stores.retain(|e| e.state == StoreState::Placed);
+            n.retirements.values_mut().for_each(|r| *r = Retirement::Completed);
+        }))
+    }
+
+    /// A store that was told to stop leaves as in a retirement, where it can be spared: as a planned step,
+    /// so that what it holds is with others before it goes.
+    fn with_one_leaving(&self) -> Option<StoreSet> {
+        if !may_retire(self.set) || !self.all_caught_up() {
+            return None;
         }
+        let placed = |id: u64| self.set.find(id).is_some_and(|e| e.state == StoreState::Placed);
+        let ending = self.heard().find(|s| s.status.ending && placed(s.status.id))?.status.id;
+        Some(self.step(|n| {
+            let since = n.version;
+            for e in n.stores.iter_mut().filter(|e| e.id == ending) {
+                (e.state, e.since) = (StoreState::Leaving, since);
+            }
+        }))
+    }
+
+    /// Every placed store is proved to have been caught up under the placement in force, also those that
+    /// are silent now. One that may never have been holds up every planned step.
+    fn all_caught_up(&self) -> bool {
+        let Some(placement) = self.set.placement() else { return false };
+        let proved = |id: u64| {
+            let span = self.observation(id).and_then(|s| s.status.caught_up);
+            span.is_some_and(|s| s.to >= placement.version)
+        };
+        placement.stores.iter().all(|s| s.caught_up || proved(s.id))
     }
-    missing <= set.tolerated && (missing == 0 || calm > AT_WORK)
 }
 
-/// Whether a store may be emptied: a whole group must stay.
+/// Whether a store may be retired: a whole group must stay.
 pub fn may_retire(set: &StoreSet) -> bool {
-    set.seated() > set.group_size()
+    set.placed() > set.group_size()
 }
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -12,7 +12,9 @@
 };
 pub use inner_protocol::patch::Patch;
 pub use inner_protocol::prelude::*;
-pub use inner_protocol::stores::{StoreEntry, StoreSet, StoreState, StoreStatus};
+pub use inner_protocol::stores::{
+    Retirement, StoreEntry, StoreSet, StoreState, StoreStatus, VersionSpan,
+};
 pub use operator_config::prelude::{check_config, Fault};
 pub use outer_calls::prelude::*;
 pub use routing_trial::prelude::{judge, OutcomeLedger, Point, TrialStatus};
--- a/crates/control-cell/tests/stores.rs
+++ b/crates/control-cell/tests/stores.rs
@@ -1,4 +1,4 @@
-//! Which stores have seats, on traces.
+//! Which stores are placed, on traces.
 use control_cell::duties::may_retire;
 use control_cell::prelude::*;
 
@@ -10,7 +10,8 @@
         zone: format!("zone-{name}"),
         fresh,
         version: 1,
-        whole: 1,
+        caught_up: span(1, 1),
+        ending: false,
     }
 }
 
@@ -26,8 +27,13 @@
     (set, s)
 }
 
-fn whole(s: &mut [StoreObservation], version: u64) {
-    s.iter_mut().for_each(|x| x.status.whole = version);
+fn span(from: u64, to: u64) -> Option<VersionSpan> {
+    Some(VersionSpan { from, to })
+}
+
+/// All tell that they are caught up under a set.
+fn caught_up(s: &mut [StoreObservation], set: &StoreSet) {
+    s.iter_mut().for_each(|x| x.status.caught_up = span(set.version, set.version));
 }
 
 const LONG: Duration = Duration::from_secs(60);
@@ -37,56 +43,56 @@
 }
 
 #[test]
-fn founders_have_seats_at_once_and_nothing_more_is_due() {
+fn founders_are_placed_at_once_and_nothing_more_is_due() {
     let (set, s) = founded();
-    assert_eq!((set.version, set.seated(), set.quorum(), set.tolerated), (1, 4, 2, 1));
+    assert_eq!((set.version, set.placed(), set.quorum(), set.tolerated), (1, 4, 2, 1));
     assert!(due(&set, &s).is_none());
 }
 
 #[test]
-fn a_wiped_store_takes_its_seat_anew_at_once() {
+fn a_wiped_store_takes_its_place_anew_at_once() {
     let (set, mut s) = founded();
     s[1] = seen(&[(9, "b", true)]).remove(0);
-    s[1].status.whole = 0;
+    s[1].status.caught_up = None;
     let next = due(&set, &s).unwrap();
     assert!(next.find(2).is_none() && next.find(9).is_some());
-    assert_eq!(next.seated(), 4);
-    whole(&mut s, 2);
+    assert_eq!(next.placed(), 4);
+    caught_up(&mut s, &next);
     assert!(due(&next, &s).is_none());
 }
 
 #[test]
-fn planned_steps_wait_until_all_at_work_are_whole() {
+fn planned_steps_wait_until_all_are_caught_up() {
     let (set, mut s) = founded();
     s.extend(seen(&[(5, "e", true)]));
-    s[2].status.whole = 0;
+    s[2].status.caught_up = None;
     assert!(due(&set, &s).is_none());
-    whole(&mut s, 1);
+    caught_up(&mut s, &set);
     let set = due(&set, &s).unwrap();
-    assert_eq!((set.version, set.seated()), (2, 5));
+    assert_eq!((set.version, set.placed()), (2, 5));
     assert!(due(&set, &s).is_none());
     // While one is silent the newcomer may be the one that replaces it.
-    whole(&mut s, 2);
+    caught_up(&mut s, &set);
     s.extend(seen(&[(6, "f", true)]));
     s[0].silent = Duration::from_secs(1);
     assert!(due(&set, &s).is_none());
     s[0].silent = Duration::ZERO;
-    assert_eq!(due(&set, &s).unwrap().seated(), 6);
+    assert_eq!(due(&set, &s).unwrap().placed(), 6);
 }
 
 #[test]
-fn a_leaving_store_goes_once_the_others_are_whole_without_it() {
+fn a_retired_store_goes_once_all_others_are_caught_up_without_it() {
     let (set, mut s) = founded();
-    let set = set.next(|n| n.stores[2].state = StoreState::Leaving);
-    assert_eq!(set.seated(), 3);
+    let set = set.begin_retirement("c");
+    assert_eq!(set.placed(), 3);
     assert!(due(&set, &s).is_none());
-    whole(&mut s, 2);
-    s[0].status.whole = 1;
+    caught_up(&mut s, &set);
+    s[0].status.caught_up = span(1, 1);
     assert!(due(&set, &s).is_none());
-    whole(&mut s, 2);
+    caught_up(&mut s, &set);
     let set = due(&set, &s).unwrap();
-    assert_eq!(set.emptied, ["c"]);
-    whole(&mut s, 3);
+    assert_eq!(set.retirement("c"), Some(Retirement::Completed));
+    caught_up(&mut s, &set);
     assert!(due(&set, &s).is_none(), "it doesn't come back");
 }
 
@@ -102,7 +108,7 @@
 }
 
 /// An incident: a machine was replaced by another just when it fell silent; the newcomer was taken as
-/// one more, waited for the dead one, and the dead one's seat was kept while anybody wasn't whole.
+/// one more, waited for the dead one, which stayed placed while anybody wasn't caught up.
 #[test]
 fn a_dead_store_is_given_up_even_while_others_wait_for_it() {
     let (set, mut s) = founded();
@@ -114,7 +120,7 @@
     let next = due(&set, &s).unwrap();
     assert!(next.find(1).is_none() && next.find(5).is_some());
     let late = set.next(|n| n.stores.push(next.find(5).unwrap().clone()));
-    s[4].status.whole = 0;
+    s[4].status.caught_up = None;
     s[0].silent = Duration::from_secs(30);
     assert!(due(&late, &s).unwrap().find(1).is_none());
 }
@@ -128,3 +134,145 @@
     let strict = set.next(|n| n.tolerated = 2);
     assert!(!may_retire(&strict));
 }
+
+/// An incident: a store lost its disk while it was being retired. It came back with a new identity, was
+/// given a place of its own, and the acknowledged order was forgotten: `GET /retire/NODE` said 404.
+#[test]
+fn a_retirement_outlives_the_disk_of_the_store_that_leaves() {
+    let (set, mut s) = founded();
+    let set = set.begin_retirement("c");
+    assert_eq!(set.retirement("c"), Some(Retirement::Running));
+    s[2] = seen(&[(9, "c", true)]).remove(0);
+    s[2].status.caught_up = None;
+    let next = due(&set, &s).unwrap();
+    assert_eq!(next.retirement("c"), Some(Retirement::Running), "the order holds");
+    assert!(next.find(3).is_none() && next.find(9).is_none(), "it isn't taken in anew");
+    assert!(due(&next, &s).is_none(), "the others don't have its programs yet");
+    caught_up(&mut s, &next);
+    let done = due(&next, &s).unwrap();
+    assert_eq!(done.retirement("c"), Some(Retirement::Completed));
+    caught_up(&mut s, &done);
+    assert!(due(&done, &s).is_none(), "it doesn't come back");
+}
+
+/// The same when another machine takes the place of the one that leaves, and when it stays silent.
+#[test]
+fn a_retirement_outlives_the_machine_of_the_store_that_leaves() {
+    let (set, mut s) = founded();
+    let set = set.begin_retirement("c");
+    s[2].silent = Duration::from_secs(5);
+    s.push(StoreObservation { status: status(9, "n", true), silent: Duration::ZERO });
+    s[4].status.zone = "zone-c".into();
+    let next = due(&set, &s).unwrap();
+    assert!(next.find(3).is_none() && next.find(9).is_some());
+    assert_eq!(next.retirement("c"), Some(Retirement::Running));
+    caught_up(&mut s, &next);
+    let done = due(&next, &s).unwrap();
+    assert_eq!(done.retirement("c"), Some(Retirement::Completed));
+}
+
+/// A store that is silent, and was never seen caught up without the one that leaves, may lack what only
+/// that one holds: its silence is no proof, and `completed` would take the last copy away.
+#[test]
+fn a_silent_store_that_is_not_proved_to_be_caught_up_holds_a_retirement_up() {
+    let (set, mut s) = founded();
+    let set = set.begin_retirement("c");
+    caught_up(&mut s, &set);
+    s[0].status.caught_up = span(1, 1);
+    s[0].silent = Duration::from_secs(3);
+    assert!(due(&set, &s).is_none(), "within the tolerated losses, but not proved");
+    s[0].status.caught_up = span(1, set.version);
+    let done = due(&set, &s).unwrap();
+    assert_eq!(done.retirement("c"), Some(Retirement::Completed), "proved, though silent now");
+}
+
+/// What the reports prove is agreed on with the step that they led to; placements are forgotten by that
+/// and never by their number.
+#[test]
+fn placements_are_forgotten_by_proof_and_not_by_number() {
+    let (mut set, mut s) = founded();
+    s[3].status.caught_up = None;
+    for id in 10..60 {
+        s[0] = seen(&[(id, "a", true)]).remove(0);
+        s[0].status.caught_up = None;
+        set = due(&set, &s).unwrap();
+    }
+    assert_eq!(set.placements.len(), 51, "nobody has caught up: all of them may be needed");
+    caught_up(&mut s, &set);
+    s[0] = seen(&[(60, "a", true)]).remove(0);
+    s[0].status.caught_up = None;
+    let mut before = seen(&[(59, "a", true)]).remove(0);
+    before.silent = LONG;
+    before.status.caught_up = span(set.version, set.version);
+    s.push(before);
+    set = due(&set, &s).unwrap();
+    assert_eq!(set.placements.len(), 2, "the last of them was complete");
+}
+
+/// An incident: a machine was replaced as planned by another of its name, which was up before the old
+/// one went. Each was taken for the other's successor in turn, the set changed with every look, and
+/// what the stores transferred never counted.
+#[test]
+fn a_machine_that_drains_beside_its_successor_leaves_and_does_not_take_the_place_back() {
+    let (set, mut s) = founded();
+    let mut newer = seen(&[(9, "b", true)]).remove(0);
+    newer.status.addr = "elsewhere:1".into();
+    newer.status.caught_up = None;
+    s.push(newer);
+    let next = due(&set, &s).unwrap();
+    let state = |set: &StoreSet, id| set.find(id).map(|e| e.state);
+    assert_eq!(state(&next, 2), Some(StoreState::Leaving), "it transfers what it holds");
+    assert_eq!(state(&next, 9), Some(StoreState::Placed));
+    let key = |e: &StoreSet, id| e.find(id).map(|e| e.rank);
+    assert_eq!(key(&next, 9), key(&set, 2), "nobody else's programs move");
+    assert!(due(&next, &s).is_none(), "and that is all");
+    caught_up(&mut s, &next);
+    let done = due(&next, &s).unwrap();
+    assert!(done.find(2).is_none());
+    assert!(due(&done, &s).is_none(), "the old one still reports, and stays out");
+}
+
+/// The last report of a lost disk may be younger than the first of the disk that takes its place.
+#[test]
+fn a_late_report_of_a_lost_disk_does_not_take_the_place_back() {
+    let (set, mut s) = founded();
+    s.push(seen(&[(9, "b", true)]).remove(0));
+    s[4].status.caught_up = None;
+    let next = due(&set, &s).unwrap();
+    assert!(next.find(2).is_none() && next.find(9).is_some());
+    assert!(due(&next, &s).is_none());
+}
+
+/// An incident: a machine was replaced as planned, its successor up before it went. It stayed placed for
+/// 20 s of silence, counted anew after each loss of power, and with one more store lost no store could
+/// prove its history: the groups refused their programs long after everything was back.
+#[test]
+fn a_store_that_is_told_to_stop_leaves_before_it_goes() {
+    let (set, mut s) = founded();
+    s[3].status.ending = true;
+    s[0].status.caught_up = None;
+    assert!(due(&set, &s).is_none(), "a planned step");
+    caught_up(&mut s, &set);
+    let next = due(&set, &s).unwrap();
+    assert_eq!(next.find(4).map(|e| e.state), Some(StoreState::Leaving));
+    assert!(due(&next, &s).is_none(), "its programs are on their way");
+    caught_up(&mut s, &next);
+    let done = due(&next, &s).unwrap();
+    assert!(done.find(4).is_none());
+    assert!(due(&done, &s).is_none(), "while it ends it isn't taken in again");
+    s[3].status.ending = false;
+    caught_up(&mut s, &done);
+    assert_eq!(due(&done, &s).unwrap().placed(), 4, "it was only restarted");
+}
+
+/// The same when it could not leave in time: its last report says that it was told to stop.
+#[test]
+fn a_store_that_ended_is_not_waited_for() {
+    let (set, mut s) = founded();
+    s[3].status.ending = true;
+    s[3].silent = Duration::from_secs(2);
+    s[0].status.caught_up = None;
+    assert!(due(&set, &s).unwrap().find(4).is_none());
+    s[3].status.ending = false;
+    assert!(due(&set, &s).is_none(), "it may be back in a moment");
+}
--- a/crates/inner-protocol/src/stores/mod.rs
+++ b/crates/inner-protocol/src/stores/mod.rs
@@ -1,7 +1,11 @@
 //! Between proxies, stores and cells: turns, the allowance's ledger, the store set.
+mod history;
+mod placement;
 mod set;
 
-pub use set::{Seat, Seating, StoreEntry, StoreSet, StoreState, StoreStatus};
+pub use history::{Transfers, VersionSpan};
+pub use placement::{PlacedStore, Placement};
+pub use set::{Retirement, StoreEntry, StoreSet, StoreState, StoreStatus};
 
 use crate::prelude::*;
 
@@ -54,9 +58,9 @@
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct OpenReply {
-    /// It knows all that was ever acknowledged for the program: its answer counts.
+    /// It has all that was ever acknowledged for the program: its answer counts.
     #[serde(rename = "k")]
-    pub knows: bool,
+    pub has_complete_history: bool,
     /// What the claim came to, and the program's attempts after it.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<WriteOutcome>,
@@ -79,7 +83,7 @@
     pub after: Option<String>,
 }
 
-/// One program as a store knows it: its ledger, and the ids of its turns.
+/// One program as a store holds it: its ledger, and the ids of its turns.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SyncRow {
     #[serde(rename = "p")]
@@ -92,8 +96,8 @@
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SyncReply {
-    /// The versions between which the answering store knows its programs whole.
-    pub whole: Option<(u64, u64)>,
+    /// The versions at which the answering store was caught up.
+    pub caught_up: Option<VersionSpan>,
     pub rows: Vec<SyncRow>,
     /// The program to go on after, if any.
     pub more: Option<String>,
@@ -130,8 +134,8 @@
         program: String,
         write: LedgerWrite,
     },
-    /// A store that gained programs by a change of the set asks for what it doesn't know of them, from
-    /// a program on.
+    /// A store that was assigned programs by a change of the set asks for what another holds of them,
+    /// from a program on.
     Sync(SyncCall),
     /// A newer set, from a caller that was told of it first.
     Learn {
@@ -145,14 +149,14 @@
     Open(OpenReply),
     Turns(Vec<TurnRecord>),
     Found {
-        /// This store knows all its programs whole: its no counts.
-        whole: bool,
+        /// This store has the complete history of all its programs: its no counts.
+        caught_up: bool,
         held: Held,
         turns: Vec<TurnRecord>,
     },
     Done,
     Written {
-        knows: bool,
+        has_complete_history: bool,
         outcome: WriteOutcome,
     },
     /// The caller works under an older set; here is the newer.
--- a/crates/inner-protocol/src/stores/set.rs
+++ b/crates/inner-protocol/src/stores/set.rs
@@ -2,262 +2,187 @@
 //!
 //! A program's group has `2T + 1` stores (T: what may be lost at once); what is written to a majority
 //! of it and what a majority of it says meet in one store at the least.
+use super::history::VersionSpan;
+use super::placement::{PlacedStore, Placement};
 use crate::prelude::*;
 
+/// What a store of the set is there for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreState {
-    /// It has a seat: programs are kept on it.
-    Seated,
-    /// It is being emptied: it has no seat any more, and still gives what it knows.
+    /// It is in the placement: programs are assigned to it.
+    Placed,
+    /// It is being retired: no programs are assigned to it, and it still transfers what it holds.
     Leaving,
 }
 
+/// A store of the set.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreEntry {
     /// The identity of its disk: a wiped store comes back as another.
     pub id: u64,
+    /// The machine's name.
     pub name: String,
+    /// Where it answers other processes of the system.
     pub addr: String,
+    /// The machine's zone.
     pub zone: String,
+    /// Whether programs are assigned to it.
     pub state: StoreState,
     /// The version of the set that gave it this state.
     pub since: u64,
+    /// Its rank in the placement; a successor inherits it.
+    pub rank: u64,
 }
 
-/// A store with a seat. `place` ranks it (from its name: a wiped store takes the seat it had).
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seat {
-    #[serde(rename = "i")]
-    pub id: u64,
-    #[serde(rename = "p")]
-    pub place: u64,
-    #[serde(rename = "z")]
-    pub zone: String,
-}
-
-/// Who had seats from a version on, until the next.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seating {
-    #[serde(rename = "v")]
-    pub version: u64,
-    #[serde(rename = "s")]
-    pub seats: Vec<Seat>,
+/// How far an acknowledged order to retire a machine has come.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Retirement {
+    /// Other stores are taking over what the machine held.
+    Running,
+    /// All of it is held by the new groups: the machine may be removed with its disk.
+    Completed,
 }
 
-/// How many seatings are remembered: a store that missed more of them asks for everything anew.
-const SEATINGS_KEPT: usize = 12;
-
+/// The stores, and who keeps which programs.
+///
 /// Invariants: `version` grows by each change; a store refuses calls made under an older one.
-/// `seatings` are in order, the last is in force; from one to the next one store at the most comes
-/// to a program's group.
+/// `placements` are in order, the last is in force; from one to the next at most one store comes to a
+/// program's group. A placement is forgotten only once a later one is known to be complete, however
+/// many there are. A name in `retirements` is never forgotten and never placed again.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreSet {
+    /// Grows by one with each change.
     pub version: u64,
+    /// The stores that programs are assigned to, and those that are leaving.
     pub stores: Vec<StoreEntry>,
-    /// Names of machines that were emptied and may be taken away.
-    pub emptied: Vec<String>,
+    /// Machines that were ordered to be retired, by name.
+    pub retirements: BTreeMap<String, Retirement>,
+    /// Identities whose place another disk of their machine's name has taken. A late report of one of
+    /// them, or a machine that drains beside its successor, doesn't take it back.
+    pub superseded: BTreeSet<u64>,
     /// How many stores may be lost at once.
     pub tolerated: u32,
-    pub seatings: Vec<Seating>,
-}
-
-impl Seating {
-    /// The group of a program, in the order of its ranks: the best of each zone first, as far as there
-    /// are zones, then the best of the rest.
-    pub fn group(&self, key: u64, size: usize) -> Vec<u64> {
-        let mut row: Vec<(u64, &Seat)> =
-            self.seats.iter().map(|s| (rendezvous_score(key, s.place), s)).collect();
-        row.sort_unstable_by_key(|(score, s)| std::cmp::Reverse((*score, s.id)));
-        let mut zones: Vec<&str> = Vec::with_capacity(size);
-        let mut taken = vec![false; row.len()];
-        for (i, (_, s)) in row.iter().enumerate() {
-            if zones.len() < size && !zones.contains(&s.zone.as_str()) {
-                zones.push(&s.zone);
-                taken[i] = true;
-            }
-        }
-        let mut left = size.saturating_sub(zones.len());
-        for t in taken.iter_mut().filter(|t| !**t) {
-            if left == 0 {
-                break;
-            }
-            *t = true;
-            left -= 1;
-        }
-        row.iter().zip(&taken).filter(|(_, t)| **t).map(|((_, s), _)| s.id).collect()
-    }
+    /// The placement in force is the last; before it are those that history may still depend on.
+    pub placements: Vec<Placement>,
 }
 
 impl StoreSet {
+    /// What ranks a program's stores.
     pub fn key_of(program: &str) -> u64 {
         fnv64(program.as_bytes())
     }
 
+    /// How many stores keep a program, where there are as many.
     pub fn group_size(&self) -> usize {
         2 * self.tolerated as usize + 1
     }
 
-    fn seating(&self) -> Option<&Seating> {
-        self.seatings.last()
+    /// The placement in force.
+    pub fn placement(&self) -> Option<&Placement> {
+        self.placements.last()
     }
 
-    /// Stores with a seat.
-    pub fn seated(&self) -> usize {
-        self.seating().map_or(0, |s| s.seats.len())
+    /// How many stores programs are assigned to.
+    pub fn placed(&self) -> usize {
+        self.placement().map_or(0, |p| p.stores.len())
     }
 
     /// The group that keeps a program now.
     pub fn group(&self, key: u64) -> Vec<u64> {
-        self.seating().map_or_else(Vec::new, |s| s.group(key, self.group_size()))
+        self.placement().map_or_else(Vec::new, |p| p.group(key, self.group_size()))
     }
 
     /// How many of a group make a majority.
     pub fn quorum(&self) -> usize {
-        self.group_size().min(self.seated()) / 2 + 1
+        self.placement().map_or(1, |p| p.majority(self.group_size()))
     }
 
+    /// The store with an identity.
     pub fn find(&self, id: u64) -> Option<&StoreEntry> {
         self.stores.iter().find(|s| s.id == id)
     }
 
-    /// The same set one version on, changed by `f`; who has a seat follows from the entries.
+    /// A rank for a newcomer that replaces nobody: its name's, unless another store has inherited that.
+    pub fn free_rank(&self, name: &str) -> u64 {
+        let own = fnv64(name.as_bytes());
+        match self.stores.iter().any(|e| e.rank == own) {
+            true => fnv64(format!("{name} {}", self.version).as_bytes()),
+            false => own,
+        }
+    }
+
+    /// The same set one version on, changed by `f`; the placement follows from the entries.
     pub fn next(&self, f: impl FnOnce(&mut StoreSet)) -> StoreSet {
         let mut n = self.clone();
         n.version += 1;
         f(&mut n);
-        let seats: Vec<Seat> = n
+        n.forget_superseded();
+        let stores: Vec<PlacedStore> = n
             .stores
             .iter()
-            .filter(|e| e.state == StoreState::Seated)
-            .map(|e| Seat { id: e.id, place: fnv64(e.name.as_bytes()), zone: e.zone.clone() })
+            .filter(|e| e.state == StoreState::Placed)
+            .map(|e| PlacedStore { id: e.id, rank: e.rank, zone: e.zone.clone(), caught_up: false })
             .collect();
-        if n.seating().is_none_or(|s| s.seats != seats) {
-            n.seatings.push(Seating { version: n.version, seats });
-            let over = n.seatings.len().saturating_sub(SEATINGS_KEPT);
-            n.seatings.drain(..over);
+        if n.placement().is_none_or(|p| !p.places_the_same(&stores)) {
+            n.placements.push(Placement { version: n.version, stores });
         }
         n
     }
 
-    /// The place in `seatings` of the one in force at a version.
-    fn in_force(&self, version: u64) -> Option<usize> {
-        self.seatings.iter().rposition(|s| s.version <= version)
-    }
-
-    fn in_group(&self, at: usize, id: u64, key: u64) -> bool {
-        self.seatings[at].group(key, self.group_size()).contains(&id)
-    }
-
-    /// Whether a store that is whole between two versions knows a program whole as of seating `at`:
-    /// it was whole then, or has been in the program's group ever since it was.
-    fn knew(&self, id: u64, whole: (u64, u64), key: u64, at: usize) -> bool {
-        let (Some(first), Some(last)) = (self.in_force(whole.0), self.in_force(whole.1)) else {
-            return false;
-        };
-        first <= at && (last.min(at)..=at).all(|i| self.in_group(i, id, key))
-    }
-
-    /// Whether store `me` knows a program whole: by itself, or by what it was given under this set.
-    ///
-    /// `whole` are the versions between which `me` is whole for all its programs; `given` those between
-    /// which the stores are that gave it, after they had learnt this set, all they know of its programs.
-    /// What was written before a seating lies with a majority of its group, of which each was whole;
-    /// what was written under each seating since lies with a majority of that one's group.
-    pub fn knows(
-        &self,
-        me: u64,
-        whole: Option<(u64, u64)>,
-        given: &BTreeMap<u64, Option<(u64, u64)>>,
-        key: u64,
-    ) -> bool {
-        let Some(now) = self.seatings.len().checked_sub(1) else {
-            return false;
-        };
-        if !self.in_group(now, me, key) {
-            return false;
-        }
-        if whole.is_some_and(|w| self.knew(me, w, key, now)) {
-            return true;
-        }
-        if given.is_empty() {
-            return false;
-        }
-        let size = self.group_size();
-        let majority = |at: usize| size.min(self.seatings[at].seats.len()) / 2 + 1;
-        let mut later = true;
-        for at in (0..=now).rev() {
-            let group = self.seatings[at].group(key, size);
-            let whole_of =
-                |id: &u64| if *id == me { whole } else { given.get(id).copied().flatten() };
-            let knew = group
-                .iter()
-                .filter(|id| whole_of(id).is_some_and(|w| self.knew(**id, w, key, at)))
-                .count();
-            if later && knew >= majority(at) {
-                return true;
-            }
-            let heard = group.iter().filter(|id| **id == me || given.contains_key(id)).count();
-            later &= at == now || heard >= majority(at);
-            if !later {
-                return false;
+    /// Records that a store was caught up at all versions of `span`.
+    pub fn record_caught_up(&mut self, id: u64, span: VersionSpan) {
+        let mut until = u64::MAX;
+        for p in self.placements.iter_mut().rev() {
+            let in_force = span.to >= p.version && span.from < until;
+            until = p.version;
+            for s in p.stores.iter_mut().filter(|s| in_force && s.id == id) {
+                s.caught_up = true;
             }
         }
-        false
     }
 
-    /// Whether a store gained programs since a version at which it was whole.
-    pub fn gained(&self, me: u64, whole: Option<(u64, u64)>) -> bool {
-        let (Some(w), Some(now)) = (whole, self.seating()) else {
-            return true;
-        };
-        let Some(last) = self.in_force(w.1) else {
-            return true;
-        };
-        let mine = |s: &Seating| s.seats.iter().any(|x| x.id == me);
-        let others = |s: &Seating| -> BTreeSet<u64> {
-            s.seats.iter().filter(|x| x.id != me).map(|x| x.place).collect()
-        };
-        if !mine(now) {
-            return false;
+    /// The newest placement that is known to be complete needs none before it.
+    fn forget_superseded(&mut self) {
+        if let Some(at) = self.placements.iter().rposition(Placement::is_complete) {
+            self.placements.drain(..at);
         }
-        // A seat less: its programs have come to others. A seat more, or the same places: to none.
-        let lost = |w: &[Seating]| !others(&w[0]).is_subset(&others(&w[1]));
-        !self.seatings[last..].iter().all(mine) || self.seatings[last..].windows(2).any(lost)
     }
 
-    /// How many stores went without giving back what they kept, since the last seating at which `me` was
-    /// whole, or since the one before it first had a seat.
-    pub fn lost_since(&self, me: u64, whole: Option<(u64, u64)>) -> usize {
-        let mine = |s: &Seating| s.seats.iter().any(|x| x.id == me);
-        let first = self.seatings.iter().position(mine).unwrap_or(0).saturating_sub(1);
-        let from = whole.and_then(|w| self.in_force(w.1)).unwrap_or(first);
-        let seated = self.seatings[from.min(self.seatings.len())..].iter().flat_map(|s| &s.seats);
-        let gone: BTreeSet<u64> =
-            seated.map(|s| s.id).filter(|id| *id != me && self.find(*id).is_none()).collect();
-        gone.len()
+    /// Whether a machine was ordered to be retired, and how far that is.
+    pub fn retirement(&self, name: &str) -> Option<Retirement> {
+        self.retirements.get(name).copied()
     }
 
-    /// The versions between which a store is whole after it was given all that the set's stores know.
-    pub fn whole_after(&self, whole: Option<(u64, u64)>) -> (u64, u64) {
-        let now = self.version;
-        match whole.and_then(|w| Some((w, self.in_force(w.1)?))) {
-            Some((w, last)) if last + 2 >= self.seatings.len() => (w.0, now),
-            _ => (now, now),
-        }
+    /// The next set, in which a machine is being retired.
+    pub fn begin_retirement(&self, name: &str) -> StoreSet {
+        self.next(|n| {
+            let since = n.version;
+            n.retirements.insert(name.to_string(), Retirement::Running);
+            for s in n.stores.iter_mut().filter(|s| s.name == name) {
+                s.state = StoreState::Leaving;
+                s.since = since;
+            }
+        })
     }
 }
 
 /// What a store tells the cells about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStatus {
+    /// The identity of its disk.
     pub id: u64,
+    /// The machine's name.
     pub name: String,
+    /// Where it answers other processes of the system.
     pub addr: String,
+    /// The machine's zone.
     pub zone: String,
-    /// Its disk was empty at a start that wasn't the system's first, and it has not been filled since.
+    /// Its disk was empty at a start that wasn't the system's first, and it has not caught up since.
     pub fresh: bool,
     /// The version of the set it works under.
     pub version: u64,
-    /// The version up to which it knows all its programs whole.
-    pub whole: u64,
+    /// The versions at which it was caught up, as its disk says.
+    pub caught_up: Option<VersionSpan>,
+    /// It was told to stop: until it does, it transfers what it holds.
+    pub ending: bool,
 }
--- a/crates/inner-protocol/tests/groups.rs
+++ b/crates/inner-protocol/tests/groups.rs
@@ -11,8 +11,9 @@
         name: name.into(),
         addr: format!("{name}:1"),
         zone: format!("z{zone}"),
-        state: StoreState::Seated,
+        state: StoreState::Placed,
         since: 1,
+        rank: fnv64(name.as_bytes()),
     }
 }
 
@@ -80,17 +81,17 @@
 #[test]
 fn who_gained_programs_must_ask_and_who_did_not_needn_t() {
     let set = founded(5, 5, 1);
-    let whole = Some((1, 1));
+    let span = Some(VersionSpan { from: 1, to: 1 });
     let wiped = set.next(|s| s.stores[0].id = 99);
-    assert!(!wiped.gained(2, whole), "others keep what they kept");
-    assert!(wiped.gained(99, None));
+    assert!(!wiped.may_lack_programs(2, span), "others keep what they kept");
+    assert!(wiped.may_lack_programs(99, None));
     let less = set.next(|s| drop(s.stores.remove(0)));
-    assert!(less.gained(2, whole));
+    assert!(less.may_lack_programs(2, span));
     let more = set.next(|s| s.stores.push(entry(6, "s5", 5)));
-    assert!(!more.gained(2, whole));
+    assert!(!more.may_lack_programs(2, span));
     // Gone and back between two looks: what was written meanwhile went by it.
     let back = less.next(|s| s.stores.push(entry(1, "s0", 0)));
-    assert!(back.gained(1, whole) && back.gained(2, whole));
+    assert!(back.may_lack_programs(1, span) && back.may_lack_programs(2, span));
 }
 
 /// A store that came to a group speaks for it once a majority of the group before has given what it
@@ -99,20 +100,23 @@
 fn a_newcomer_speaks_once_a_majority_of_those_before_it_gave() {
     let set = founded(5, 5, 1);
     let next = set.next(|s| s.stores[0].state = StoreState::Leaving);
-    let whole = Some((1, 1));
+    let span = Some(VersionSpan { from: 1, to: 1 });
     let mut seen = 0;
     for key in 0..400u64 {
         let (a, b) = (set.group(key), next.group(key));
         let Some(new) = b.iter().find(|id| !a.contains(id)) else { continue };
         seen += 1;
-        let mut given = BTreeMap::new();
-        assert!(!next.knows(*new, whole, &given, key));
-        given.insert(a[0], whole);
-        assert!(!next.knows(*new, whole, &given, key));
-        given.insert(a[1], whole);
-        assert!(next.knows(*new, whole, &given, key));
+        let mut transfers = BTreeMap::new();
+        assert!(!next.has_complete_history(*new, span, &transfers, key));
+        transfers.insert(a[0], span);
+        assert!(!next.has_complete_history(*new, span, &transfers, key));
+        transfers.insert(a[1], span);
+        assert!(next.has_complete_history(*new, span, &transfers, key));
         for id in b.iter().filter(|id| *id != new) {
-            assert!(next.knows(*id, whole, &BTreeMap::new(), key), "it was there before");
+            assert!(
+                next.has_complete_history(*id, span, &BTreeMap::new(), key),
+                "it was there before"
+            );
         }
     }
     assert!(seen > 50);
--- a/crates/request-proxy/src/turns/attempts.rs
+++ b/crates/request-proxy/src/turns/attempts.rs
@@ -80,7 +80,9 @@
         let mut work: FuturesUnordered<_> = asks.collect();
         while let Some((id, r)) = work.next().await {
             match r {
-                Ok(StoreReply::Written { knows: true, outcome }) if on(id, &outcome) => {
+                Ok(StoreReply::Written { has_complete_history: true, outcome })
+                    if on(id, &outcome) =>
+                {
                     return true
                 }
                 Ok(StoreReply::Stale(newer)) => self.learn(newer),
--- a/crates/request-proxy/src/turns/closing.rs
+++ b/crates/request-proxy/src/turns/closing.rs
@@ -32,7 +32,7 @@
         let record = Arc::new(record);
         loop {
             let set = self.set();
-            if set.seated() > 0 {
+            if set.placed() > 0 {
                 let q = StoreCall::Close {
                     version: set.version,
                     record: TurnRecord::clone(&record),
--- a/crates/request-proxy/src/turns/opening.rs
+++ b/crates/request-proxy/src/turns/opening.rs
@@ -67,7 +67,7 @@
             if left.is_zero() {
                 break Err(OpenFault::Unsure);
             }
-            if set.seated() > 0 {
+            if set.placed() > 0 {
                 let under = self.open_under(&set, &ask, attempt.as_ref());
                 match tokio::time::timeout(left, under).await {
                     Ok(Ok(Some(o))) => break Ok(o),
@@ -164,12 +164,12 @@
                     heard.push(id);
                     self.hear_of(r.later);
                     let granted = r.outcome.as_ref().is_none_or(WriteOutcome::is_granted);
-                    if let (true, Some(o)) = (r.knows, &r.outcome) {
+                    if let (true, Some(o)) = (r.has_complete_history, &r.outcome) {
                         tally.take(id, o, r.view);
                     }
                     let wanted = ids.first() == Some(&id);
-                    ledger.take(id, r.knows && granted, wanted, (r.held, r.turns));
-                    if !(r.knows && granted) {
+                    ledger.take(id, r.has_complete_history && granted, wanted, (r.held, r.turns));
+                    if !(r.has_complete_history && granted) {
                         work.extend(rest.drain(..).map(|(i, e)| call(i, e, previous)));
                     }
                 }
@@ -203,7 +203,7 @@
                 let mut work: FuturesUnordered<_> = again.collect();
                 while decision == ClaimDecision::Reread {
                     match work.next().await {
-                        Some((id, Ok(StoreReply::Open(r)))) if r.knows => {
+                        Some((id, Ok(StoreReply::Open(r)))) if r.has_complete_history => {
                             tally.take_again(id, r.view);
                             decision = decide(&tally);
                         }
--- a/crates/request-proxy/tests/open.rs
+++ b/crates/request-proxy/tests/open.rs
@@ -84,8 +84,9 @@
                 name: format!("s{id}"),
                 addr: String::new(),
                 zone: String::new(),
-                state: StoreState::Seated,
+                state: StoreState::Placed,
                 since: 1,
+                rank: id,
             })
             .collect();
     });
--- a/crates/stand-ins/tests/store_schedules.rs
+++ b/crates/stand-ins/tests/store_schedules.rs
@@ -14,7 +14,7 @@
     id: u64,
     /// What is on disk.
     log: Vec<Logged>,
-    whole: Option<(u64, u64)>,
+    caught_up: Option<VersionSpan>,
     tables: StoreTables,
     up: bool,
     /// It never comes back.
@@ -22,21 +22,21 @@
 }
 
 impl Store {
-    fn new(i: u64, zones: u64, id: u64, whole: Option<(u64, u64)>) -> Self {
+    fn new(i: u64, zones: u64, id: u64, caught_up: Option<VersionSpan>) -> Self {
         Store {
             name: format!("s{i}"),
             zone: format!("z{}", i % zones),
             id,
             log: Vec::new(),
-            whole,
-            tables: StoreTables::new(Knowledge::new(id, whole), Limits::default()),
+            caught_up,
+            tables: StoreTables::new(History::new(id, caught_up), Limits::default()),
             up: true,
             dead: false,
         }
     }
 
     fn restart(&mut self) {
-        self.tables = StoreTables::new(Knowledge::new(self.id, self.whole), Limits::default());
+        self.tables = StoreTables::new(History::new(self.id, self.caught_up), Limits::default());
         self.log.iter().for_each(|l| self.tables.take(l.clone(), NOW));
         self.up = true;
     }
@@ -52,12 +52,12 @@
     }
 
     fn learn(&mut self, set: &StoreSet) {
-        self.tables.knowledge.learn(set.clone());
-        self.whole = self.tables.knowledge.whole;
+        self.tables.history.learn(set.clone());
+        self.caught_up = self.tables.history.caught_up;
     }
 
-    fn is_whole(&self) -> bool {
-        self.tables.knowledge.is_whole()
+    fn is_caught_up(&self) -> bool {
+        self.tables.history.is_caught_up()
     }
 }
 
@@ -109,7 +109,9 @@
 
 impl World {
     fn new(n: u64, zones: u64, tolerated: u32) -> Self {
-        let stores = (0..n).map(|i| Store::new(i, zones, i + 1, Some((1, 1)))).collect();
+        let stores = (0..n)
+            .map(|i| Store::new(i, zones, i + 1, Some(VersionSpan { from: 1, to: 1 })))
+            .collect();
         let mut w = World {
             tolerated,
             zones,
@@ -137,8 +139,8 @@
     fn lost(&self) -> usize {
         let set = self.set.version;
         let ok = |s: &&Store| {
-            s.up && s.is_whole()
-                && s.tables.knowledge.set.version == set
+            s.up && s.is_caught_up()
+                && s.tables.history.set.version == set
                 && self.set.find(s.id).is_some()
         };
         self.stores.len() - self.stores.iter().filter(ok).count()
@@ -154,9 +156,10 @@
                     name: s.name.clone(),
                     addr: s.name.clone(),
                     zone: s.zone.clone(),
-                    fresh: s.whole.is_none(),
-                    version: s.tables.knowledge.set.version,
-                    whole: s.whole.map_or(0, |w| w.1),
+                    fresh: s.caught_up.is_none(),
+                    version: s.tables.history.set.version,
+                    caught_up: s.caught_up,
+                    ending: false,
                 },
                 silent: match (s.up, s.dead) {
                     (true, _) => Duration::ZERO,
@@ -168,18 +171,18 @@
         let calm = Duration::from_secs(60);
         if let Some(next) = next_stores(&self.set, &seen, calm, self.tolerated) {
             self.old = std::mem::replace(&mut self.set, next);
-            let gone = self.set.emptied.clone();
             let set = self.set.clone();
             let stays = |s: &Store| !s.dead || set.find(s.id).is_some();
-            self.stores.retain(|s| !gone.contains(&s.name) && stays(s));
+            let gone = |s: &Store| set.retirement(&s.name) == Some(Retirement::Completed);
+            self.stores.retain(|s| !gone(s) && stays(s));
         }
     }
 
     /// Store `i` asks store `j` for all it doesn't know.
     fn sync(&mut self, i: usize, j: usize) {
-        let (me, version) = (self.stores[i].id, self.stores[i].tables.knowledge.set.version);
+        let (me, version) = (self.stores[i].id, self.stores[i].tables.history.set.version);
         // One that is whole asks nobody: it goes on without the turns that others kept.
-        if i == j || !self.stores[i].up || self.stores[i].is_whole() {
+        if i == j || !self.stores[i].up || self.stores[i].is_caught_up() {
             return;
         }
         let q = StoreCall::Sync(SyncCall { version, me, after: None });
@@ -202,8 +205,8 @@
         let from = self.stores[j].id;
         let s = &mut self.stores[i];
         s.log.extend(log);
-        s.tables.given(version, from, page.whole);
-        s.whole = s.tables.knowledge.whole;
+        s.tables.transferred(version, from, page.caught_up);
+        s.caught_up = s.tables.history.caught_up;
     }
 
     /// Opens a turn with stores in a drawn order; gives back its chain, or why not.
@@ -252,8 +255,8 @@
             match self.at(*id).and_then(|s| s.call(q)) {
                 Some(StoreReply::Open(r)) => {
                     let outcome = r.outcome.unwrap();
-                    let counts = r.knows && outcome.is_granted();
-                    if r.knows {
+                    let counts = r.has_complete_history && outcome.is_granted();
+                    if r.has_complete_history {
                         tally.take(*id, &outcome, r.view);
                     }
                     l.take(*id, counts, want, (r.held, r.turns));
@@ -273,8 +276,8 @@
         for id in &ids {
             let q = StoreCall::Find { version: set.version, id: prev.unwrap_or("").into() };
             match self.at(*id).and_then(|s| s.call(q)) {
-                Some(StoreReply::Found { whole, held, turns }) => {
-                    l.take(*id, whole, true, (held, turns));
+                Some(StoreReply::Found { caught_up, held, turns }) => {
+                    l.take(*id, caught_up, true, (held, turns));
                 }
                 _ => l.fail(),
             }
@@ -394,7 +397,7 @@
                 self.next_id += 1;
                 let id = self.next_id;
                 let s = &mut self.stores[i];
-                (s.id, s.whole) = (id, None);
+                (s.id, s.caught_up) = (id, None);
                 s.log.clear();
                 s.restart();
             }
@@ -408,14 +411,11 @@
                 }
                 self.stores.push(s);
             }
-            19 if spare && self.set.seated() > self.set.group_size() => {
+            19 if spare && self.set.placed() > self.set.group_size() => {
                 let id = self.stores[i].id;
-                if self.set.stores.iter().all(|e| e.state == StoreState::Seated) {
-                    let next = self.set.next(|n| {
-                        for e in n.stores.iter_mut().filter(|e| e.id == id) {
-                            e.state = StoreState::Leaving;
-                        }
-                    });
+                let name = self.stores[i].name.clone();
+                if self.set.find(id).is_some_and(|e| e.state == StoreState::Placed) {
+                    let next = self.set.begin_retirement(&name);
                     self.old = std::mem::replace(&mut self.set, next);
                 }
             }
@@ -446,7 +446,7 @@
         }
         let set = self.set.clone();
         for s in self.stores.iter().filter(|s| !s.dead) {
-            assert!(s.is_whole(), "{} isn't whole again", s.name);
+            assert!(s.is_caught_up(), "{} isn't whole again", s.name);
         }
         for (p, id, _) in self.turns.clone() {
             self.next_req += 1;
--- a/crates/turn-store/src/actor/copying.rs
+++ b/crates/turn-store/src/actor/copying.rs
@@ -1,4 +1,4 @@
-//! Asking the other stores for what this one doesn't know whole.
+//! Asking the other stores for what this one may lack.
 use super::work::{StoreCommand, StoreHandle};
 use crate::prelude::*;
 
@@ -7,7 +7,7 @@
 /// Turns asked for at once.
 const BATCH: usize = 48;
 
-/// Asks each store of the set that has not given everything yet, until all have or a newer seating is
+/// Asks each store of the set that has not transferred everything yet, until all have or a newer placement is
 /// in force. All are asked side by side; one that is away doesn't hold up the others.
 pub async fn sync_with_all(h: StoreHandle, me: u64, mut due: watch::Receiver<u64>) {
     loop {
@@ -69,7 +69,8 @@
         match page.more {
             Some(a) => after = Some(a),
             None => {
-                let done = StoreCommand::Given { version, from: from.id, whole: page.whole };
+                let done =
+                    StoreCommand::Transferred { version, from: from.id, caught_up: page.caught_up };
                 h.send(done).await;
                 return Some(());
             }
--- a/crates/turn-store/src/actor/work.rs
+++ b/crates/turn-store/src/actor/work.rs
@@ -10,13 +10,15 @@
     Merge(Vec<SyncRow>, oneshot::Sender<Vec<(String, String)>>),
     /// Turns of another store, each with the program it is kept for.
     Keep(Vec<(String, TurnRecord)>, oneshot::Sender<()>),
-    /// A store has given everything under the set of this version.
-    Given {
+    /// A store has transferred everything under the set of this version.
+    Transferred {
         version: u64,
         from: u64,
-        whole: Option<(u64, u64)>,
+        caught_up: Option<VersionSpan>,
     },
-    /// The version in force, and which stores have not given everything yet.
+    /// The process was told to stop.
+    End,
+    /// The version in force, and which stores have not transferred everything yet.
     Missing(oneshot::Sender<(u64, Vec<StoreEntry>)>),
 }
 
@@ -29,6 +31,8 @@
 #[derive(Clone)]
 pub struct StoreHandle {
     queue: mpsc::Sender<StoreCommand>,
+    /// Once it was told to stop: nothing depends on this store any more, or it can't be spared.
+    released: watch::Receiver<bool>,
 }
 
 impl StoreHandle {
@@ -42,16 +46,24 @@
         let _ = self.queue.send(StoreCommand::Learn(set)).await;
     }
 
+    /// Announces that this store is to stop, and waits until it may.
+    pub async fn end(&self) {
+        let mut released = self.released.clone();
+        if self.send(StoreCommand::End).await {
+            let _ = released.wait_for(|r| *r).await;
+        }
+    }
+
     pub(super) async fn send(&self, c: StoreCommand) -> bool {
         self.queue.send(c).await.is_ok()
     }
 }
 
-/// Invariant: `whole` names versions at which all this store's programs were whole on this disk.
+/// Invariant: at all versions of `caught_up` this disk had the complete history of the store's programs.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq)]
 struct Identity {
     id: u64,
-    whole: Option<(u64, u64)>,
+    caught_up: Option<VersionSpan>,
 }
 
 /// The first set that is ever agreed on: before it nothing was kept.
@@ -70,6 +82,8 @@
     /// Bumped when there may be something to ask the others for.
     due: watch::Sender<u64>,
     status: watch::Sender<Option<StoreStatus>>,
+    ending: bool,
+    released: watch::Sender<bool>,
     segment_bytes: u64,
 }
 
@@ -91,13 +105,14 @@
     let ident = match load_snapshot(&dir, "identity")?.and_then(|b| decode::<Identity>(&b)) {
         Some(i) => i,
         None => {
-            let whole = settings.first_start.then_some((FIRST_VERSION, FIRST_VERSION));
-            let i = Identity { id: fastrand::u64(1..), whole };
+            let founding = VersionSpan { from: FIRST_VERSION, to: FIRST_VERSION };
+            let caught_up = settings.first_start.then_some(founding);
+            let i = Identity { id: fastrand::u64(1..), caught_up };
             save_snapshot(&dir, "identity", &encode(&i))?;
             i
         }
     };
-    let mut tables = StoreTables::new(Knowledge::new(ident.id, ident.whole), settings.dispatcher);
+    let mut tables = StoreTables::new(History::new(ident.id, ident.caught_up), settings.dispatcher);
     let mut bad = 0u64;
     let log = SegmentLog::open(&dir.join("log"), |_, b| match decode::<Logged>(b) {
         Some(l) => tables.take(l, Duration::ZERO),
@@ -115,13 +130,15 @@
         name: settings.node_name.clone(),
         addr: settings.own_addr(STORE_PORT),
         zone: settings.zone.clone(),
-        fresh: ident.whole.is_none(),
+        fresh: ident.caught_up.is_none(),
         version: 0,
-        whole: ident.whole.map_or(0, |w| w.1),
+        caught_up: ident.caught_up,
+        ending: false,
     };
     let (stx, srx) = watch::channel(Some(status));
     let (tx, rx) = mpsc::channel(4096);
-    let handle = StoreHandle { queue: tx };
+    let (released, released_rx) = watch::channel(false);
+    let handle = StoreHandle { queue: tx, released: released_rx };
     let ends = (log.first_no()..=log.segment_no()).map(|n| (n, SEGMENT_KEPT)).collect();
     let disk = settings.limits.disk_mb.max(64) << 20;
     let (due, due_rx) = watch::channel(0);
@@ -136,6 +153,8 @@
         ends,
         due,
         status: stx,
+        ending: false,
+        released,
         segment_bytes: disk / 32,
     };
     tokio::spawn(owner.run(rx));
@@ -222,15 +241,21 @@
                 }
                 merged.push(Merged::Turns(tx));
             }
-            StoreCommand::Given { version, from, whole } => {
-                if self.tables.given(version, from, whole) {
-                    info!("whole under store set {}", self.tables.knowledge.set.version);
+            StoreCommand::Transferred { version, from, caught_up } => {
+                if self.tables.transferred(version, from, caught_up) {
+                    info!("caught up under store set {}", self.tables.history.set.version);
                     self.identify();
                 }
             }
+            StoreCommand::End => {
+                info!("told to stop");
+                self.ending = true;
+                self.tell(|s| s.ending = true);
+                self.release();
+            }
             StoreCommand::Missing(tx) => {
-                let k = &self.tables.knowledge;
-                let _ = tx.send((k.set.version, k.missing()));
+                let h = &self.tables.history;
+                let _ = tx.send((h.set.version, h.missing()));
             }
         }
     }
@@ -246,21 +271,33 @@
 
     fn learn(&mut self, set: StoreSet) {
         let version = set.version;
-        let learnt = self.tables.knowledge.learn(set);
+        let learnt = self.tables.history.learn(set);
         if learnt == Learnt::Old {
             return;
         }
         info!("store set {}: {:?}", version, learnt);
         self.identify();
+        self.release();
         self.due.send_modify(|n| *n += 1);
     }
 
+    /// A store that is to stop may once the set is without it, or can't be without it.
+    fn release(&mut self) {
+        let set = &self.tables.history.set;
+        let spared = set.placed() > set.group_size();
+        let entry = set.find(self.ident.id);
+        let leaves = entry.is_some_and(|e| spared || e.state == StoreState::Leaving);
+        if self.ending && !leaves {
+            self.released.send_replace(true);
+        }
+    }
+
     /// What this store may vouch for is on disk before it is told to anybody.
     fn identify(&mut self) {
-        let k = &self.tables.knowledge;
-        let (version, whole) = (k.set.version, k.whole);
-        if self.ident.whole != whole {
-            self.ident.whole = whole;
+        let h = &self.tables.history;
+        let (version, caught_up) = (h.set.version, h.caught_up);
+        if self.ident.caught_up != caught_up {
+            self.ident.caught_up = caught_up;
             if let Err(e) = save_snapshot(&self.dir, "identity", &encode(&self.ident)) {
                 spdlog::error!("{}", e);
                 std::process::exit(3);
@@ -268,8 +305,8 @@
         }
         self.tell(|s| {
             s.version = version;
-            s.fresh = whole.is_none();
-            s.whole = whole.map_or(0, |w| w.1);
+            s.fresh = caught_up.is_none();
+            s.caught_up = caught_up;
         });
     }
 
--- a/crates/turn-store/src/lib.rs
+++ b/crates/turn-store/src/lib.rs
@@ -1,12 +1,16 @@
 //! A store: keeps turns and the allowance's ledger on disk, in a majority of the group that keeps a program.
 pub mod actor;
-pub mod knowledge;
+pub mod history;
 pub mod prelude;
 pub mod tables;
 
 use crate::prelude::*;
 use node_base::settings::STORE_PORT;
 
+/// What is kept of the time between SIGTERM and SIGKILL for the end itself.
+const END_MARGIN: Duration = Duration::from_millis(600);
+
+/// Runs a store until it is told to stop.
 pub async fn run_store(settings: NodeSettings) -> NodeResult<()> {
     let addr = settings.own_addr(STORE_PORT);
     let listener =
@@ -34,6 +38,9 @@
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|e| NodeError::Io { what: "SIGTERM".into(), source: e })?;
     term.recv().await;
+    // What it holds is transferred first, as far as that is possible in the time that is left.
+    let _ =
+        tokio::time::timeout(settings.bounds.grace.saturating_sub(END_MARGIN), store.end()).await;
     // Everything answered is synced already; calls under way get a moment to be answered.
     tokio::time::sleep(Duration::from_millis(100)).await;
     Ok(())
--- a/crates/turn-store/src/prelude.rs
+++ b/crates/turn-store/src/prelude.rs
@@ -1,6 +1,6 @@
 //! The one module every file of this package imports.
 pub use crate::actor::{StoreCommand, StoreHandle};
-pub use crate::knowledge::{Knowledge, Learnt};
+pub use crate::history::{History, Learnt};
 pub use crate::tables::{Logged, StoreTables};
 pub use feed_follow::prelude::{follow_cells, FeedItem, FollowSettings, News};
 pub use inner_protocol::prelude::*;
--- a/crates/turn-store/src/tables/mod.rs
+++ b/crates/turn-store/src/tables/mod.rs
@@ -28,7 +28,7 @@
 /// Invariants: `lives` is what this process has heard; a turn is here from the moment
 /// its record was given until `until`, which is never before its retention has passed.
 pub struct StoreTables {
-    pub knowledge: Knowledge,
+    pub history: History,
     turns: HashMap<String, TurnRow>,
     programs: BTreeMap<String, Program>,
     limits: Limits,
@@ -39,14 +39,14 @@
 const LEDGER_KEPT: Duration = Duration::from_secs(240);
 /// Clocks and answers under way: a turn is kept somewhat longer than promised.
 const SLACK: Duration = Duration::from_secs(20);
-/// Programs in one answer to a store that asks for what it doesn't know.
+/// Programs in one answer to a store that asks for what others hold.
 const SYNC_PAGE: usize = 300;
 
 impl StoreTables {
     /// Of `limits`, the lease and the slack are used here.
-    pub fn new(knowledge: Knowledge, limits: Limits) -> Self {
+    pub fn new(history: History, limits: Limits) -> Self {
         StoreTables {
-            knowledge,
+            history,
             turns: HashMap::new(),
             programs: BTreeMap::new(),
             limits,
@@ -129,15 +129,15 @@
         self.lives.newest(attempt.node).filter(|n| *n > attempt.incarnation)
     }
 
-    /// A store has given all it knows; true when this one is whole by that.
-    pub fn given(&mut self, version: u64, from: u64, whole: Option<(u64, u64)>) -> bool {
-        self.knowledge.given(version, from, whole);
-        self.knowledge.complete(self.programs.keys().map(|p| StoreSet::key_of(p)))
+    /// A store has transferred all it holds; true when this one is caught up by that.
+    pub fn transferred(&mut self, version: u64, from: u64, caught_up: Option<VersionSpan>) -> bool {
+        self.history.transferred(version, from, caught_up);
+        self.history.complete(self.programs.keys().map(|p| StoreSet::key_of(p)))
     }
 
     /// Refuses what was made under another set than the one in force here.
     fn fenced(&self, version: u64) -> Option<StoreReply> {
-        let set = &self.knowledge.set;
+        let set = &self.history.set;
         match version.cmp(&set.version) {
             std::cmp::Ordering::Less => Some(StoreReply::Stale(set.clone())),
             std::cmp::Ordering::Greater => Some(StoreReply::Behind),
@@ -165,8 +165,16 @@
                     None => (Held::No, Vec::new()),
                     Some(id) => self.chain(id, o.want, now),
                 };
-                let knows = self.knowledge.knows(StoreSet::key_of(&o.program));
-                StoreReply::Open(OpenReply { knows, outcome, view, later, held, turns })
+                let key = StoreSet::key_of(&o.program);
+                let has_complete_history = self.history.has_complete_history(key);
+                StoreReply::Open(OpenReply {
+                    has_complete_history,
+                    outcome,
+                    view,
+                    later,
+                    held,
+                    turns,
+                })
             }
             StoreCall::Fetch { ids } => {
                 let got = ids.iter().filter_map(|i| self.turns.get(i)).map(|r| r.record.clone());
@@ -177,8 +185,8 @@
                     return r;
                 }
                 let (held, turns) = self.chain(&id, true, now);
-                let whole = self.knowledge.is_whole();
-                StoreReply::Found { whole, held, turns }
+                let caught_up = self.history.is_caught_up();
+                StoreReply::Found { caught_up, held, turns }
             }
             StoreCall::Close { version, record, foreign, settle } => {
                 if let Some(r) = self.fenced(version) {
@@ -188,7 +196,7 @@
                 if let Some(w) = settle {
                     let outcome = self.write(&record.program, &w, now, log);
                     if !outcome.is_granted() {
-                        return StoreReply::Written { knows: true, outcome };
+                        return StoreReply::Written { has_complete_history: true, outcome };
                     }
                 }
                 for f in foreign {
@@ -206,7 +214,9 @@
                 }
                 let outcome = self.write(&program, &write, now, log);
                 StoreReply::Written {
-                    knows: self.knowledge.knows(StoreSet::key_of(&program)),
+                    has_complete_history: self
+                        .history
+                        .has_complete_history(StoreSet::key_of(&program)),
                     outcome,
                 }
             }
@@ -221,14 +231,14 @@
                 name: String::new(),
                 turns: self.turns.len() as u64,
                 programs: self.programs.len() as u64,
-                version: self.knowledge.set.version,
+                version: self.history.set.version,
                 disk_bytes: 0,
-                fresh: self.knowledge.whole.is_none(),
+                fresh: self.history.caught_up.is_none(),
             },
         }
     }
 
-    /// A page of what this store knows of the programs that the asking one keeps.
+    /// A page of what this store holds of the programs that the asking one keeps.
     fn sync(&self, q: SyncCall) -> StoreReply {
         if let Some(r) = self.fenced(q.version) {
             return r;
@@ -240,7 +250,7 @@
         let mut rows = Vec::new();
         let mut more = None;
         for (program, p) in self.programs.range((from, std::ops::Bound::Unbounded)) {
-            if !self.knowledge.owes(q.me, StoreSet::key_of(program)) {
+            if !self.history.keeps(q.me, StoreSet::key_of(program)) {
                 continue;
             }
             if rows.len() == SYNC_PAGE {
@@ -250,7 +260,7 @@
             let (ledger, turns) = (p.ledger.records().cloned().collect(), p.turns.clone());
             rows.push(SyncRow { program: program.clone(), ledger, turns });
         }
-        StoreReply::Sync(SyncReply { whole: self.knowledge.whole, rows, more })
+        StoreReply::Sync(SyncReply { caught_up: self.history.caught_up, rows, more })
     }
 
     fn chain(&self, id: &str, want: bool, now: Duration) -> (Held, Vec<TurnRecord>) {
--- a/crates/turn-store/tests/tables.rs
+++ b/crates/turn-store/tests/tables.rs
@@ -2,10 +2,12 @@
 use dispatcher::prelude::{Epoch, NewAttempt, Pinned};
 use turn_store::prelude::*;
 
-fn tables(whole: Option<(u64, u64)>) -> StoreTables {
-    let mut k = Knowledge::new(1, whole);
-    k.learn(set_of(&[1, 2, 3]));
-    StoreTables::new(k, Limits::default())
+const FOUNDER: Option<VersionSpan> = Some(VersionSpan { from: 1, to: 1 });
+
+fn tables(caught_up: Option<VersionSpan>) -> StoreTables {
+    let mut h = History::new(1, caught_up);
+    h.learn(set_of(&[1, 2, 3]));
+    StoreTables::new(h, Limits::default())
 }
 
 fn set_of(ids: &[u64]) -> StoreSet {
@@ -18,8 +20,9 @@
                 name: format!("s{id}"),
                 addr: String::new(),
                 zone: format!("z{id}"),
-                state: StoreState::Seated,
+                state: StoreState::Placed,
                 since: 1,
+                rank: *id,
             })
             .collect();
     })
@@ -80,7 +83,7 @@
 
 #[test]
 fn a_recorded_turn_is_found_with_its_chain_until_its_time_is_over() {
-    let mut t = tables(Some((1, 1)));
+    let mut t = tables(FOUNDER);
     let mut log = Vec::new();
     let at = Duration::from_secs;
     for (id, chain) in [("a", vec![]), ("b", vec!["a"]), ("c", vec!["a", "b"])] {
@@ -89,7 +92,7 @@
     }
     let StoreReply::Open(o) = t.call(open(1, 9, 50, Some("c")), at(2), &mut log) else { panic!() };
     assert!(matches!(&o.held, Held::Yes(ids) if ids == &["a", "b", "c"]));
-    assert!(o.knows);
+    assert!(o.has_complete_history);
     assert_eq!(o.turns.len(), 3);
     assert!(matches!(o.outcome, Some(WriteOutcome::Claimed { .. })));
     assert_eq!((o.view.finished.0.len(), o.view.live.len()), (1, 1));
@@ -101,34 +104,36 @@
 
 #[test]
 fn older_and_newer_sets_are_fenced_and_an_empty_disk_s_word_doesn_t_count() {
-    let mut t = tables(Some((1, 1)));
+    let mut t = tables(FOUNDER);
     let mut log = Vec::new();
     assert!(matches!(t.call(open(0, 1, 5, None), NOW, &mut log), StoreReply::Stale(_)));
     assert!(matches!(t.call(open(2, 1, 5, None), NOW, &mut log), StoreReply::Behind));
     assert!(log.is_empty());
     let mut t = tables(None);
     let StoreReply::Open(o) = t.call(open(1, 1, 5, Some("x")), NOW, &mut log) else { panic!() };
-    assert!(!o.knows, "it takes the reservation, but can't speak for the program");
+    assert!(!o.has_complete_history, "it takes the reservation, but can't speak for the program");
     assert_eq!(log.len(), 1);
     let find = StoreCall::Find { version: 1, id: "x".into() };
-    assert!(matches!(t.call(find, NOW, &mut log), StoreReply::Found { whole: false, .. }));
+    assert!(matches!(t.call(find, NOW, &mut log), StoreReply::Found { caught_up: false, .. }));
 }
 
 /// An incident: after the closing fault a new program goes on from another program's turn, which was
 /// looked for in the new program's group only and called unknown.
 #[test]
 fn a_turn_is_found_whichever_program_s_it_is_and_kept_with_those_that_go_on_from_it() {
-    let mut t = tables(Some((1, 1)));
+    let mut t = tables(FOUNDER);
     let mut log = Vec::new();
     t.call(close(record("old", "a", &[]), Vec::new()), NOW, &mut log);
     let find = StoreCall::Find { version: 1, id: "a".into() };
-    let StoreReply::Found { whole, held, turns } = t.call(find, NOW, &mut log) else { panic!() };
-    assert!(whole && matches!(held, Held::Yes(_)) && turns.len() == 1);
+    let StoreReply::Found { caught_up, held, turns } = t.call(find, NOW, &mut log) else {
+        panic!()
+    };
+    assert!(caught_up && matches!(held, Held::Yes(_)) && turns.len() == 1);
     // Another store, which only keeps the new program.
-    let mut other = tables(Some((1, 1)));
+    let mut other = tables(FOUNDER);
     let mut log = Vec::new();
     other.call(close(record("new", "b", &["a"]), turns), NOW, &mut log);
-    let mut again = tables(Some((1, 1)));
+    let mut again = tables(FOUNDER);
     log.into_iter().for_each(|l| again.take(l, NOW));
     for t in [&mut other, &mut again] {
         let q = StoreCall::Sync(SyncCall { version: 1, me: 2, after: None });
@@ -142,7 +147,7 @@
 /// told to an earlier one, and its attempts lapse.
 #[test]
 fn a_close_under_an_epoch_that_lost_its_authority_keeps_nothing() {
-    let mut t = tables(Some((1, 1)));
+    let mut t = tables(FOUNDER);
     let mut log = Vec::new();
     let old = attempt(1, 50);
     let epoch = old.epoch();
@@ -179,7 +184,7 @@
 fn the_ledger_rebuilt_from_its_log_is_the_same() {
     for seed in 0..200u64 {
         arbtest::arbtest(|u| {
-            let mut t = tables(Some((1, 1)));
+            let mut t = tables(FOUNDER);
             let mut log = Vec::new();
             let mut settled: HashMap<u64, u32> = HashMap::new();
             for _ in 0..u.int_in_range(1..=40)? {
@@ -201,7 +206,7 @@
                 }
             };
             let mine = rows(&mut t);
-            let mut again = tables(Some((1, 1)));
+            let mut again = tables(FOUNDER);
             log.into_iter().for_each(|l| again.take(l, NOW));
             assert_eq!(mine, rows(&mut again));
             let mut filled = tables(None);
@@ -218,3 +223,28 @@
         .seed(seed << 32 | 512);
     }
 }
+
+/// A store that is being retired gets no new turns: its no to a search says nothing, and what it missed
+/// before it was told to leave it never learns.
+#[test]
+fn a_leaving_store_speaks_only_for_what_it_had() {
+    let set = set_of(&[1, 2, 3, 4]);
+    let mut h = History::new(1, FOUNDER);
+    h.learn(set.clone());
+    assert!(h.is_caught_up());
+    // Store 2 goes, and before this one has taken over its share it is to leave.
+    let less = set.next(|s| s.stores.retain(|e| e.id != 2));
+    assert_eq!(h.learn(less.clone()), Learnt::Behind);
+    let leaving = less.next(|s| s.stores[0].state = StoreState::Leaving);
+    assert_eq!(h.learn(leaving.clone()), Learnt::Unplaced);
+    assert_eq!(h.caught_up, FOUNDER);
+    assert!(!h.is_caught_up() && h.missing().is_empty());
+    assert!(!h.complete(std::iter::empty()));
+    // Nor does another count it for the programs that it gained and never received.
+    let mut other = History::new(3, None);
+    other.learn(leaving.clone());
+    other.transferred(leaving.version, 1, h.caught_up);
+    let gained = |k: &u64| !set.group(*k).contains(&1) && less.group(*k).contains(&1);
+    let key = (0..1000).find(|k| gained(k) && leaving.group(*k).contains(&3)).unwrap();
+    assert!(!other.has_complete_history(key));
+}
