--- a/crates/stand-ins/tests/store_schedules.rs
+++ b/crates/stand-ins/tests/store_schedules/world.rs
@@ -1,7 +1,5 @@
-//! Generated schedules over the stores, the set and the answers to opens, all pure: stores are killed,
-//! wiped (as many at once as are tolerated), added, emptied and taken away; proxies work under old
-//! sets; copying comes in any order. No turn that was acknowledged is ever called unknown, and no open
-//! misses a reservation that was acknowledged.
+//! The stores, the set and the proxies' side, all pure and without a clock.
+use control_cell::duties::may_retire;
 use control_cell::prelude::{next_stores, StoreObservation};
 use dispatcher::prelude::{ClaimDecision, ClaimTally, NewAttempt, Pinned, Reread};
 use request_proxy::prelude::{OpenFault, OpenLedger, OpenStep};
@@ -19,6 +17,10 @@
     up: bool,
     /// It never comes back.
     dead: bool,
+    /// It was down or lost its disk, and has not caught up since: it counts as lost.
+    lost: bool,
+    /// It was told to stop; its successor may be there.
+    ending: bool,
 }
 
 impl Store {
@@ -32,13 +34,26 @@
             tables: StoreTables::new(History::new(id, caught_up), Limits::default()),
             up: true,
             dead: false,
+            lost: false,
+            ending: false,
         }
     }
 
     fn restart(&mut self) {
         self.tables = StoreTables::new(History::new(self.id, self.caught_up), Limits::default());
         self.log.iter().for_each(|l| self.tables.take(l.clone(), NOW));
-        self.up = true;
+        (self.up, self.ending) = (true, false);
+    }
+
+    fn goes_down(&mut self) {
+        (self.up, self.lost) = (false, true);
+    }
+
+    /// Its disk is gone; it comes back with another identity.
+    fn wiped(&mut self, id: u64) {
+        (self.id, self.caught_up, self.lost) = (id, None, true);
+        self.log.clear();
+        self.restart();
     }
 
     fn call(&mut self, q: StoreCall) -> Option<StoreReply> {
@@ -56,6 +71,14 @@
         self.caught_up = self.tables.history.caught_up;
     }
 
+    /// It is on its disk, whether the store is up or not.
+    fn holds(&self, turn: &str) -> bool {
+        self.log.iter().any(|l| match l {
+            Logged::Turn(r) | Logged::Foreign { record: r, .. } => r.id == turn,
+            Logged::Attempt { .. } => false,
+        })
+    }
+
     fn is_caught_up(&self) -> bool {
         self.tables.history.is_caught_up()
     }
@@ -64,6 +87,9 @@
 const NOW: Duration = Duration::from_secs(5);
 const PROGRAMS: u64 = 6;
 
+/// Rounds in which all groups answer again, once everything is back and quiet.
+const HEALED_WITHIN: u32 = 12;
+
 const LEASE: Duration = Duration::from_secs(60);
 
 fn attempt(req: u64) -> NewAttempt {
@@ -80,7 +106,7 @@
     }
 }
 
-struct World {
+pub struct World {
     tolerated: u32,
     zones: u64,
     set: StoreSet,
@@ -93,10 +119,14 @@
     turns: Vec<(u64, String, Vec<String>)>,
     /// Acknowledged reservations and what they came to, by program.
     ledger: Vec<BTreeMap<u64, u32>>,
+    /// Acknowledged orders to retire a machine, by its name.
+    orders: BTreeSet<String>,
+    /// The most rounds that it took until all groups answered again.
+    pub rounds: u32,
 }
 
-type Luck<'a, 'b> = &'a mut arbtest::arbitrary::Unstructured<'b>;
-type Drawn<T> = arbtest::arbitrary::Result<T>;
+pub type Luck<'a, 'b> = &'a mut arbtest::arbitrary::Unstructured<'b>;
+pub type Drawn<T> = arbtest::arbitrary::Result<T>;
 
 fn shuffled(u: Luck, ids: &[u64]) -> Drawn<Vec<u64>> {
     let mut v = ids.to_vec();
@@ -108,7 +138,7 @@
 }
 
 impl World {
-    fn new(n: u64, zones: u64, tolerated: u32) -> Self {
+    pub fn new(n: u64, zones: u64, tolerated: u32) -> Self {
         let stores = (0..n)
             .map(|i| Store::new(i, zones, i + 1, Some(VersionSpan { from: 1, to: 1 })))
             .collect();
@@ -122,6 +152,8 @@
             next_req: 1,
             turns: Vec::new(),
             ledger: vec![BTreeMap::new(); PROGRAMS as usize],
+            orders: BTreeSet::new(),
+            rounds: 0,
         };
         w.lead();
         w.old = w.set.clone();
@@ -135,15 +167,41 @@
         self.stores.iter_mut().find(|s| s.id == id)
     }
 
-    /// Stores that are away or not whole yet: what is lost now.
-    fn lost(&self) -> usize {
-        let set = self.set.version;
-        let ok = |s: &&Store| {
-            s.up && s.is_caught_up()
-                && s.tables.history.set.version == set
-                && self.set.find(s.id).is_some()
-        };
-        self.stores.len() - self.stores.iter().filter(ok).count()
+    /// Every placed store is up and caught up under the newest set.
+    fn settled(&self) -> bool {
+        let placed = self.set.placement().map_or(&[][..], |p| &p.stores);
+        let ok = |id: u64| self.stores.iter().any(|s| s.id == id && self.caught_up(s));
+        placed.iter().all(|p| ok(p.id))
+    }
+
+    fn caught_up(&self, s: &Store) -> bool {
+        s.up && s.is_caught_up() && s.tables.history.set.version == self.set.version
+    }
+
+    /// What is lost now: a store that was down or lost its disk until it has caught up; one that is
+    /// gone for good, or that isn't placed any more, until all that are placed have.
+    fn count_losses(&mut self) -> usize {
+        let settled = self.settled();
+        let placed: Vec<u64> =
+            self.set.placement().map_or(Vec::new(), |p| p.stores.iter().map(|s| s.id).collect());
+        for i in 0..self.stores.len() {
+            let s = &self.stores[i];
+            let over = match placed.contains(&s.id) {
+                true => self.caught_up(s),
+                false => settled && (s.up || s.dead),
+            };
+            if over {
+                self.stores[i].lost = false;
+            }
+        }
+        let set = &self.set;
+        self.stores.retain(|s| !s.dead || s.lost || set.find(s.id).is_some());
+        self.stores.iter().filter(|s| s.lost).count()
+    }
+
+    /// One more may be lost.
+    fn spare(&mut self) -> bool {
+        self.count_losses() < self.tolerated as usize
     }
 
     fn lead(&mut self) {
@@ -159,7 +217,7 @@
                     fresh: s.caught_up.is_none(),
                     version: s.tables.history.set.version,
                     caught_up: s.caught_up,
-                    ending: false,
+                    ending: s.ending,
                 },
                 silent: match (s.up, s.dead) {
                     (true, _) => Duration::ZERO,
@@ -171,10 +229,39 @@
         let calm = Duration::from_secs(60);
         if let Some(next) = next_stores(&self.set, &seen, calm, self.tolerated) {
             self.old = std::mem::replace(&mut self.set, next);
-            let set = self.set.clone();
-            let stays = |s: &Store| !s.dead || set.find(s.id).is_some();
-            let gone = |s: &Store| set.retirement(&s.name) == Some(Retirement::Completed);
-            self.stores.retain(|s| !gone(s) && stays(s));
+            self.check_orders();
+        }
+    }
+
+    /// An acknowledged order is never forgotten; what a machine held that may be taken away lies with a
+    /// majority of the group that keeps it now, less those whose disks were lost just then.
+    fn check_orders(&mut self) {
+        let before = self.old.clone();
+        for name in &self.orders {
+            assert!(self.set.retirement(name).is_some(), "the order to retire {name} is forgotten");
+            let was = before.retirement(name);
+            assert!(was != Some(Retirement::Completed) || self.set.retirement(name) == was);
+        }
+        let of = |set: &StoreSet, name: &str| set.retirement(name) == Some(Retirement::Completed);
+        let done = |name: &str| of(&self.set, name) && !of(&before, name);
+        if self.stores.iter().any(|s| done(&s.name)) {
+            self.check_copies();
+        }
+        let set = self.set.clone();
+        for s in self.stores.iter_mut().filter(|s| of(&set, &s.name)) {
+            (s.up, s.dead) = (false, true);
+        }
+        self.stores.retain(|s| !of(&set, &s.name));
+    }
+
+    fn check_copies(&self) {
+        for (p, id, _) in &self.turns {
+            let group = self.set.group(StoreSet::key_of(&format!("p{p}")));
+            let at = |g: &&u64| self.stores.iter().find(|s| s.id == **g);
+            let holders = group.iter().filter(|g| at(g).is_some_and(|s| s.holds(id))).count();
+            let wiped = group.iter().filter(|g| at(g).is_none()).count();
+            assert!(holders + wiped >= self.set.quorum(), "{id}: {holders} copies, {wiped} wiped");
+            assert!(holders > 0, "{id}: no copy is left");
         }
     }
 
@@ -374,84 +461,190 @@
         Ok(())
     }
 
-    fn step(&mut self, u: Luck) -> Drawn<()> {
+    pub fn step(&mut self, u: Luck) -> Drawn<()> {
         let i = u.int_in_range(0..=self.stores.len() - 1)?;
-        let spare = self.lost() < self.tolerated as usize;
-        match u.int_in_range(0..=19u8)? {
+        match u.int_in_range(0..=27u8)? {
             0..=6 => self.turn(u)?,
-            7..=8 => {
-                let set = self.set.clone();
-                if self.stores[i].up {
-                    self.stores[i].learn(&set);
-                }
-            }
+            7..=8 => self.tell(i),
             9..=12 => {
                 let j = u.int_in_range(0..=self.stores.len() - 1)?;
                 self.sync(i, j);
             }
             13..=14 => self.lead(),
-            15 if spare => self.stores[i].up = false,
-            16 if !self.stores[i].up && !self.stores[i].dead => self.stores[i].restart(),
-            // Its disk is gone. What is away already may lose its disk as well.
-            17 if (spare || !self.stores[i].up) && !self.stores[i].dead => {
-                self.next_id += 1;
-                let id = self.next_id;
-                let s = &mut self.stores[i];
-                (s.id, s.caught_up) = (id, None);
-                s.log.clear();
-                s.restart();
+            15 => self.lose(i, false),
+            16 => self.comes_back(i),
+            17 => self.lose(i, true),
+            18 => self.add(),
+            19 => self.retire(i),
+            20 => self.replace_as_planned(i, u.arbitrary()?),
+            21 => self.ends(i),
+            22 => self.power_loss(),
+            23..=24 => self.burst(u)?,
+            _ => self.round(),
+        }
+        Ok(())
+    }
+
+    /// Several changes one right after the other, with nothing transferred between them.
+    fn burst(&mut self, u: Luck) -> Drawn<()> {
+        for _ in 0..u.int_in_range(2..=6)? {
+            let i = u.int_in_range(0..=self.stores.len() - 1)?;
+            match u.int_in_range(0..=6u8)? {
+                0 => self.add(),
+                1 => self.retire(i),
+                2 => self.replace_as_planned(i, u.arbitrary()?),
+                3 => self.ends(i),
+                4 => self.power_loss(),
+                _ => self.lose(i, true),
             }
-            // One more, or one at another address in the place of one that is away for good.
-            18 if self.stores.len() < 16 => {
-                self.next_id += 1;
-                let mut s = Store::new(self.next_id, self.zones, self.next_id, None);
-                if let Some(old) = self.stores.iter_mut().find(|s| !s.up && !s.dead) {
-                    s.zone.clone_from(&old.zone);
-                    old.dead = true;
-                }
-                self.stores.push(s);
+            if u.arbitrary()? {
+                self.lead();
             }
-            19 if spare && self.set.placed() > self.set.group_size() => {
-                let id = self.stores[i].id;
-                let name = self.stores[i].name.clone();
-                if self.set.find(id).is_some_and(|e| e.state == StoreState::Placed) {
-                    let next = self.set.begin_retirement(&name);
-                    self.old = std::mem::replace(&mut self.set, next);
-                }
+            if u.arbitrary()? {
+                (0..self.stores.len()).for_each(|i| self.tell(i));
             }
-            _ => {}
         }
         Ok(())
     }
 
-    /// Everybody comes back; then all must be whole and every turn be found, whoever is asked.
-    fn heal(&mut self, u: Luck) -> Drawn<()> {
+    fn tell(&mut self, i: usize) {
+        let set = self.set.clone();
+        if self.stores[i].up {
+            self.stores[i].learn(&set);
+        }
+    }
+
+    /// It goes down, or loses its disk; what is down already may lose its disk as well.
+    fn lose(&mut self, i: usize, disk: bool) {
+        if self.stores[i].dead || !(self.spare() || self.at_lost(i)) {
+            return;
+        }
+        let Some(s) = self.stores.get_mut(i) else { return };
+        match disk {
+            true => {
+                self.next_id += 1;
+                s.wiped(self.next_id);
+            }
+            false => s.goes_down(),
+        }
+    }
+
+    fn at_lost(&self, i: usize) -> bool {
+        self.stores.get(i).is_some_and(|s| s.lost && !s.up)
+    }
+
+    fn comes_back(&mut self, i: usize) {
+        if !self.stores[i].up && !self.stores[i].dead {
+            self.stores[i].restart();
+        }
+    }
+
+    /// All stores lose power at once, and are back with their disks.
+    fn power_loss(&mut self) {
+        self.stores.iter_mut().filter(|s| !s.dead).for_each(Store::restart);
+    }
+
+    /// One more, or one at another address in the place of one that is away for good.
+    fn add(&mut self) {
+        if self.stores.len() >= 16 {
+            return;
+        }
+        self.next_id += 1;
+        let mut s = Store::new(self.next_id, self.zones, self.next_id, None);
+        if let Some(old) = self.stores.iter_mut().find(|s| !s.up && !s.dead) {
+            s.zone.clone_from(&old.zone);
+            old.dead = true;
+        }
+        self.stores.push(s);
+    }
+
+    fn retire(&mut self, i: usize) {
+        let (id, name) = (self.stores[i].id, self.stores[i].name.clone());
+        let placed = self.set.placement().is_some_and(|p| p.has(id));
+        if placed && may_retire(&self.set) {
+            let next = self.set.begin_retirement(&name);
+            self.old = std::mem::replace(&mut self.set, next);
+            self.orders.insert(name);
+        }
+    }
+
+    /// Another machine is up, in its zone and at times of its name, and it is told to stop.
+    fn replace_as_planned(&mut self, i: usize, same_name: bool) {
+        if self.stores.len() >= 16 || self.stores[i].ending || self.stores[i].dead {
+            return;
+        }
+        self.next_id += 1;
+        let mut s = Store::new(self.next_id, self.zones, self.next_id, None);
+        s.zone.clone_from(&self.stores[i].zone);
+        if same_name {
+            s.name.clone_from(&self.stores[i].name);
+        }
+        self.stores[i].ending = true;
+        self.stores.push(s);
+    }
+
+    /// One that was told to stop does: once nothing depends on it, else as a loss.
+    fn ends(&mut self, i: usize) {
+        if !self.stores[i].ending || self.stores[i].dead {
+            return;
+        }
+        let free = self.set.find(self.stores[i].id).is_none() && self.settled();
+        if free || self.spare() {
+            if let Some(s) = self.stores.get_mut(i).filter(|s| s.ending) {
+                (s.up, s.dead, s.lost) = (false, true, !free);
+            }
+        }
+    }
+
+    /// Name, identity, whether it is up, dead and ending, the span in which it is caught up, and the
+    /// version of its set.
+    fn states(&self) -> Vec<String> {
+        let state = |s: &Store| {
+            let set = s.tables.history.set.version;
+            format!(
+                "{} {} up {} dead {} ending {} {:?} set {set}",
+                s.name, s.id, s.up, s.dead, s.ending, s.caught_up
+            )
+        };
+        self.stores.iter().map(state).collect()
+    }
+
+    /// Everybody learns the set, asks everybody, and the leader looks once.
+    fn round(&mut self) {
+        (0..self.stores.len()).for_each(|i| self.tell(i));
+        for i in 0..self.stores.len() {
+            (0..self.stores.len()).for_each(|j| self.sync(i, j));
+        }
+        self.lead();
+    }
+
+    /// Everybody comes back; within `HEALED_WITHIN` rounds all must be caught up, and every turn is
+    /// found and no reservation missed, whoever is asked.
+    pub fn heal(&mut self, u: Luck) -> Drawn<()> {
         for s in self.stores.iter_mut().filter(|s| !s.up && !s.dead) {
             s.restart();
         }
-        for _ in 0..40 {
-            let set = self.set.clone();
-            self.stores.iter_mut().for_each(|s| s.learn(&set));
-            for i in 0..self.stores.len() {
-                for j in 0..self.stores.len() {
-                    self.sync(i, j);
-                }
-            }
+        loop {
             let before = self.set.version;
-            self.lead();
-            let dead = self.stores.iter().filter(|s| s.dead).count();
-            if before == self.set.version && self.lost() == dead {
+            self.round();
+            self.rounds += 1;
+            let dead = self.stores.iter().any(|s| s.dead && self.set.find(s.id).is_some());
+            let open = self.set.retirements.values().any(|r| *r == Retirement::Running);
+            if before == self.set.version && (dead || self.settled() && !open) {
                 break;
             }
+            assert!(self.rounds < HEALED_WITHIN, "not quiet: {:?}", self.states());
         }
         let set = self.set.clone();
-        for s in self.stores.iter().filter(|s| !s.dead) {
-            assert!(s.is_caught_up(), "{} isn't whole again", s.name);
+        for s in self.stores.iter().filter(|s| set.placement().is_some_and(|p| p.has(s.id))) {
+            assert!(s.dead || s.is_caught_up(), "{} isn't caught up", s.name);
         }
         for (p, id, _) in self.turns.clone() {
             self.next_req += 1;
             let got = self.open(u, &set, p, self.next_req, Some(&id))?;
             assert!(got.is_ok(), "{id} of p{p}: {got:?}");
+            let due: u32 = self.ledger[p as usize].values().sum();
+            assert!(got.is_ok_and(|(spent, _)| spent >= u64::from(due)), "budget of p{p} is freed");
             // Another program may go on from it as well.
             self.next_req += 1;
             let got = self.open(u, &set, (p + 1) % PROGRAMS, self.next_req, Some(&id))?;
@@ -460,22 +653,3 @@
         Ok(())
     }
 }
-
-#[test]
-fn no_acknowledged_turn_is_unknown_and_no_reservation_is_missed() {
-    for (n, tolerated) in
-        [(4, 1), (5, 1), (5, 2), (9, 1), (9, 2), (9, 3), (15, 1), (15, 2), (15, 3)]
-    {
-        for seed in 0..60u64 {
-            arbtest::arbtest(|u| {
-                let zones = u.int_in_range(1..=5u64)?;
-                let mut w = World::new(n, zones, tolerated);
-                for _ in 0..u.int_in_range(20..=160)? {
-                    w.step(u)?;
-                }
-                w.heal(u)
-            })
-            .seed((seed * 31 + n * 7 + u64::from(tolerated)) << 32 | 4096);
-        }
-    }
-}
