--- /dev/null
+++ b/crates/control-cell/src/actor/run.rs
@@ -0,0 +1,245 @@
+//! The actor: composes a cell's parts and works through its queue of commands.
+use super::driver::{ConsensusDriver, OpenedCell};
+use super::links::CellLinks;
+use super::membership::MembershipDuty;
+use super::stores::StoreDuty;
+use super::trial::TrialDesk;
+use super::zones::ZoneDesk;
+use crate::listing::{read_lists, Held};
+use crate::prelude::*;
+
+/// Commands worked through before the disk, the clock and the duties have their turn again.
+const COMMANDS_AT_ONCE: usize = 64;
+const DUTY_EVERY: Duration = Duration::from_millis(200);
+/// How long a leader that ends stays to hand its lead over.
+const HAND_OVER: Duration = Duration::from_millis(1200);
+/// How long a follower that ends stays so that its word gets out.
+const LEAVE_WORD: Duration = Duration::from_millis(300);
+
+/// Who waits for an order.
+pub(super) enum Order {
+    /// Answered with the outcome.
+    Plain(Waiting<CellReply>),
+    /// An order to empty a store.
+    Retire(Waiting<CellReply>),
+}
+
+impl Order {
+    pub fn is_gone(&self) -> bool {
+        match self {
+            Order::Plain(w) | Order::Retire(w) => w.is_gone(),
+        }
+    }
+
+    /// Without an outcome, nobody here can tell what becomes of the order: no claim is made.
+    pub fn answer(self, outcome: Option<Outcome>) {
+        match (self, outcome) {
+            (Order::Plain(w), Some(outcome)) => w.answer(CellReply::Outcome(outcome)),
+            (Order::Retire(w), Some(Outcome::Taken)) => {
+                w.answer(CellReply::Retire(RetireState::Running));
+            }
+            // Another change came between; sent again, the order finds what it led to.
+            (Order::Plain(w) | Order::Retire(w), _) => w.answer(CellReply::Unable),
+        }
+    }
+}
+
+/// Whoever is served from the agreed state, once a majority has confirmed that it is current.
+pub(super) enum Reader {
+    Config(Waiting<Option<Option<Bytes>>>),
+    Follow(FollowFrom, Waiting<Option<OpenedFeed>>),
+    /// Another cell asks on behalf of its reader.
+    Index(Waiting<CellReply>),
+    Retire {
+        store: String,
+        ask_only: bool,
+        waiting: Waiting<CellReply>,
+    },
+    Trial {
+        ask: TrialAsk,
+        waiting: Waiting<CellReply>,
+    },
+}
+
+impl Reader {
+    /// No majority confirms that this cell is current.
+    pub fn refuse(self) {
+        match self {
+            Reader::Config(w) => w.answer(None),
+            Reader::Follow(_, w) => w.answer(None),
+            Reader::Index(w) => w.answer(CellReply::Unable),
+            Reader::Retire { waiting, .. } => waiting.answer(CellReply::Unable),
+            Reader::Trial { waiting, .. } => waiting.answer(CellReply::Unable),
+        }
+    }
+
+    /// How long the caller waits yet.
+    pub fn remaining(&self) -> Duration {
+        match self {
+            Reader::Config(w) => w.remaining(),
+            Reader::Follow(_, w) => w.remaining(),
+            Reader::Index(w) => w.remaining(),
+            Reader::Retire { waiting, .. } => waiting.remaining(),
+            Reader::Trial { waiting, .. } => waiting.remaining(),
+        }
+    }
+
+    pub fn is_gone(&self) -> bool {
+        match self {
+            Reader::Config(w) => w.is_gone(),
+            Reader::Follow(_, w) => w.is_gone(),
+            Reader::Index(w) => w.is_gone(),
+            Reader::Retire { waiting, .. } => waiting.is_gone(),
+            Reader::Trial { waiting, .. } => waiting.is_gone(),
+        }
+    }
+}
+
+/// A cell that was told to end, and who waits for it.
+pub(super) struct Ending {
+    at: Instant,
+    done: oneshot::Sender<()>,
+}
+
+/// Invariant: `due` is empty unless something is being carried out.
+pub(super) struct Actor {
+    pub settings: Arc<NodeSettings>,
+    pub queue: mpsc::Sender<CellCommand>,
+    pub driver: ConsensusDriver,
+    /// What the agreement is yet to be asked, in order.
+    pub due: VecDeque<Event>,
+    /// An effect of the agreement is being carried out.
+    pub carrying: bool,
+    pub desk: OrderDesk<Order, Reader>,
+    pub links: CellLinks,
+    pub feed: FeedBook,
+    pub zones: ZoneDesk,
+    pub members: MembershipDuty,
+    pub stores: StoreDuty,
+    pub trial: TrialDesk,
+    pub next_duty: Instant,
+    pub ending: Option<Ending>,
+}
+
+impl Actor {
+    pub fn open(settings: Arc<NodeSettings>, queue: mpsc::Sender<CellCommand>) -> NodeResult<Self> {
+        let OpenedCell { driver, state, lives } = ConsensusDriver::open(&settings)?;
+        let (held, watch_held) = watch::channel(Held::new());
+        if let Some(cloud) = settings.cloud.clone() {
+            tokio::spawn(read_lists(cloud, settings.bounds.drain, watch_held, queue.clone()));
+        }
+        let now = Instant::now();
+        Ok(Actor {
+            settings,
+            queue,
+            desk: OrderDesk::new(state, driver.node.applied),
+            driver,
+            due: VecDeque::new(),
+            carrying: false,
+            links: CellLinks::default(),
+            feed: FeedBook::default(),
+            zones: ZoneDesk::new(lives, held, now),
+            members: MembershipDuty::new(now),
+            stores: StoreDuty::default(),
+            trial: TrialDesk::default(),
+            next_duty: now,
+            ending: None,
+        })
+    }
+
+    pub async fn run(mut self, mut rx: mpsc::Receiver<CellCommand>) {
+        self.publish_state();
+        let mut ok = true;
+        while ok {
+            let wake = self.driver.next_tick().min(self.next_duty).max(Instant::now());
+            tokio::select! {
+                cmd = rx.recv() => match cmd {
+                    Some(c) => ok = self.commands(c, &mut rx),
+                    None => return,
+                },
+                _ = tokio::time::sleep_until(wake.into()) => {}
+            }
+            ok = ok && self.timers(Instant::now());
+        }
+        // The disk can't be written, or what was agreed on can't be read: nothing may be said any more.
+        std::process::exit(3);
+    }
+
+    /// What came together is worked through together.
+    fn commands(&mut self, first: CellCommand, rx: &mut mpsc::Receiver<CellCommand>) -> bool {
+        let mut ok = self.command(first);
+        for _ in 0..COMMANDS_AT_ONCE {
+            match rx.try_recv() {
+                Ok(c) if ok => ok = self.command(c),
+                _ => break,
+            }
+        }
+        ok
+    }
+
+    fn timers(&mut self, now: Instant) -> bool {
+        let mut ok = true;
+        if now >= self.driver.next_tick() {
+            ok = self.agree_on(Event::Tick);
+        }
+        if ok && now >= self.next_duty {
+            self.next_duty = now + DUTY_EVERY;
+            ok = self.duties(now);
+        }
+        let leads = self.driver.leads();
+        if let Some(e) = self.ending.take_if(|e| now >= e.at || !leads) {
+            let _ = e.done.send(());
+        }
+        ok
+    }
+
+    fn command(&mut self, cmd: CellCommand) -> bool {
+        match cmd {
+            CellCommand::Tell(call) => return self.told_by(call),
+            CellCommand::Outcomes(reports) => self.took_outcomes(reports),
+            CellCommand::Call(call, waiting) => return self.called(call, waiting),
+            CellCommand::Listed { zone, epoch, engines } => self.listed(zone, epoch, engines),
+            CellCommand::Follow(from, waiting) => {
+                return self.confirm_for(Reader::Follow(from, waiting));
+            }
+            CellCommand::ReadConfig(waiting) => return self.confirm_for(Reader::Config(waiting)),
+            CellCommand::ForwardConfirmed { token, index } => {
+                let events = self.desk.confirmed(token, index);
+                events.into_iter().for_each(|e| self.settle(e));
+            }
+            CellCommand::Leave(reply) => return self.leave(reply),
+        }
+        true
+    }
+
+    fn told_by(&mut self, call: CellCall) -> bool {
+        match call {
+            CellCall::Agree { from, addr, msg } => {
+                self.links.heard_from(from, addr);
+                return self.agree_on(Event::Received { from, msg });
+            }
+            CellCall::Table { table } => self.take_table(table),
+            CellCall::Announce { status } => self.announced(status),
+            CellCall::Outcomes { reports } => {
+                self.trial.keep(self.desk.state(), reports);
+            }
+            _ => {}
+        }
+        true
+    }
+
+    fn leave(&mut self, done: oneshot::Sender<()>) -> bool {
+        let now = Instant::now();
+        let id = self.driver.me.id;
+        if self.driver.leads() {
+            self.members.leaves(id);
+            self.ending = Some(Ending { at: now + HAND_OVER, done });
+            return self.duties(now) && self.agree_on(Event::HandOver);
+        }
+        if let Some(l) = self.leader_addr() {
+            self.links.caller(&l).tell(&CellCall::Leave { id });
+        }
+        self.ending = Some(Ending { at: now + LEAVE_WORD, done });
+        true
+    }
+}
--- /dev/null
+++ b/crates/control-cell/src/actor/stores.rs
@@ -0,0 +1,58 @@
+//! The store duty: what stores tell of themselves, and orders to retire one.
+use crate::duties::may_retire;
+use crate::prelude::*;
+
+#[derive(Default)]
+pub(super) struct StoreDuty {
+    reports: HashMap<u64, Report>,
+}
+
+struct Report {
+    status: StoreStatus,
+    at: Instant,
+}
+
+/// What an order to retire a store, or a question about one, leads to.
+pub(super) enum RetireStep {
+    Answer(RetireState),
+    Propose(Change),
+}
+
+impl StoreDuty {
+    pub fn announced(&mut self, status: StoreStatus) {
+        self.reports.insert(status.id, Report { status, at: Instant::now() });
+    }
+
+    /// The next store set, if one is due.
+    pub fn next(
+        &self,
+        set: &StoreSet,
+        now: Instant,
+        calm: Duration,
+        tolerated: u32,
+    ) -> Option<StoreSet> {
+        let seen: Vec<StoreObservation> = self
+            .reports
+            .values()
+            .map(|r| StoreObservation {
+                status: r.status.clone(),
+                silent: now.duration_since(r.at),
+            })
+            .collect();
+        next_stores(set, &seen, calm, tolerated)
+    }
+}
+
+pub(super) fn retire_step(set: &StoreSet, store: &str, ask_only: bool) -> RetireStep {
+    let known = set.stores.iter().any(|s| s.name == store);
+    RetireStep::Answer(match set.retirement(store) {
+        Some(Retirement::Running) => RetireState::Running,
+        Some(Retirement::Completed) => RetireState::Completed,
+        None if ask_only || !known => RetireState::Unknown,
+        None if !may_retire(set) => RetireState::TooFew,
+        None => {
+            let change = Change::PutStores { base: set.version, set: set.begin_retirement(store) };
+            return RetireStep::Propose(change);
+        }
+    })
+}
--- a/crates/control-cell/src/follow/mod.rs
+++ b/crates/control-cell/src/follow/mod.rs
@@ -2,8 +2,10 @@
 use crate::prelude::*;
 use node_base::links::{frame_stream, serve_streams};
 
+/// How long a follower may take to say what it wants.
 const FIRST: Duration = Duration::from_secs(2);
 
+/// Serves every follower that connects.
 pub async fn serve_feed(listener: TcpListener, cell: CellHandle) {
     serve_streams(listener, move |s| {
         tokio::spawn(serve_one(s, cell.clone()));
@@ -21,7 +23,8 @@
         return;
     };
     // What follows is only told once a majority has confirmed that this cell is not cut off.
-    let Some((mut items, opened)) = cell.follow(feed, no, Wants { topics, patches }).await else {
+    let from = FollowFrom { feed, no, wants: Wants { topics, patches } };
+    let Some(OpenedFeed { mut items, feed: opened }) = cell.follow(from).await else {
         return;
     };
     if wire.send(encode(&FeedMsg::Open { feed: opened })).await.is_err() {
--- a/crates/control-cell/src/lib.rs
+++ b/crates/control-cell/src/lib.rs
@@ -1,10 +1,13 @@
+#![deny(missing_docs)]
 //! A cell: keeps its zones' engines and nodes, agrees with the other cells on the configuration, and
 //! serves `control`.
 pub mod actor;
 pub mod duties;
+pub mod feed;
 pub mod follow;
 pub mod listing;
 pub mod operator;
+pub mod orders;
 pub mod prelude;
 pub mod state;
 
--- a/crates/control-cell/src/state/mod.rs
+++ b/crates/control-cell/src/state/mod.rs
@@ -1,59 +1,72 @@
 //! What the cells agree on: the same on every cell after the same entries.
-use crate::prelude::*;
+mod record;
+
+pub use record::{order_digest, ConfirmedOrders, MOST_CONFIRMED};
 
-const MOST_TAKEN: usize = 512;
+use crate::prelude::*;
 
+/// The newest configuration that was taken.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct TakenConfig {
+    /// The log index that brought it.
     pub index: u64,
+    /// The operator's number for it.
     pub version: u64,
-    pub digest: u64,
+    /// Its text as it was sent.
     pub body: ByteBuf,
 }
 
-/// Invariants: `config.version` only grows; `taken` names every configuration taken, oldest first, so
-/// that one sent again is known; `stores.version` grows by each change.
+/// What the cells agree on.
+///
+/// Invariants: `config.version` only grows; `confirmed` names the configurations taken, so that one sent
+/// again is known; `stores.version` grows by each change.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct CellState {
+    /// The newest configuration.
     pub config: Option<TakenConfig>,
-    pub taken: VecDeque<(u64, u64)>,
+    /// Missing in snapshots of before there was one.
+    #[serde(default)]
+    pub confirmed: ConfirmedOrders,
+    /// The stores that count.
     pub stores: StoreSet,
+    /// The log index that brought them.
     pub stores_index: u64,
+    /// Which cell holds each zone.
     pub holders: BTreeMap<String, u64>,
-    /// The log index at which an zone's holder was last named.
+    /// The log index at which a zone's holder was last named.
     pub epochs: BTreeMap<String, u64>,
     /// The routing trial that runs, or the last one, and the log index that brought it. Missing in
     /// snapshots older than trials.
     #[serde(default)]
     pub trial: Option<Box<TrialRecord>>,
+    /// The log index that brought the trial.
     #[serde(default)]
     pub trial_index: u64,
 }
 
 impl CellState {
+    /// Reads the state from a snapshot; that of a cell that never had one is empty.
+    pub fn read(data: &[u8]) -> Option<Self> {
+        if data.is_empty() {
+            return Some(CellState::default());
+        }
+        let mut state: CellState = decode(data)?;
+        if let Some(c) = state.config.as_ref().filter(|_| state.confirmed.is_empty()) {
+            state.confirmed.add(c.version, order_digest(&c.body));
+        }
+        Some(state)
+    }
+
+    /// The newest configuration's version; 0 before the first.
     pub fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |c| c.version)
     }
 
+    /// Applies the change of a log entry. It depends on nothing but the state and the entry.
     pub fn apply(&mut self, index: u64, change: Change) -> Outcome {
         match change {
-            Change::PutConfig { base, version, digest, body } => {
-                if self.taken.contains(&(version, digest)) {
-                    return Outcome::TakenBefore;
-                }
-                let cur = self.config_version();
-                if base != cur {
-                    return Outcome::Conflict;
-                }
-                if version <= cur {
-                    return Outcome::NotAbove;
-                }
-                self.taken.push_back((version, digest));
-                if self.taken.len() > MOST_TAKEN {
-                    self.taken.pop_front();
-                }
-                self.config = Some(TakenConfig { index, version, digest, body });
-                Outcome::Taken
+            Change::PutConfig { base, version, sha256, body } => {
+                self.put_config(base, TakenConfig { index, version, body }, sha256)
             }
             Change::PutStores { base, mut set } => {
                 if base != self.stores.version {
@@ -83,12 +96,28 @@
             }
         }
     }
-}
 
-/// The same for two texts that say the same: keys are sorted, blanks left out.
-pub fn digest_of(body: &[u8]) -> u64 {
-    match serde_json::from_slice::<Value>(body) {
-        Ok(v) => fnv64(v.to_string().as_bytes()),
-        Err(_) => fnv64(body),
+    fn put_config(&mut self, base: u64, new: TakenConfig, sha256: BodyDigest) -> Outcome {
+        let version = new.version;
+        let digest = match sha256 == BodyDigest::default() {
+            true => order_digest(&new.body),
+            false => sha256,
+        };
+        if self.confirmed.has(version, &digest) {
+            return Outcome::TakenBefore;
+        }
+        // One that builds on its own version or a later one was never taken.
+        if base < version && self.confirmed.has_forgotten(version) {
+            return Outcome::Forgotten;
+        }
+        if base != self.config_version() {
+            return Outcome::Conflict;
+        }
+        if version <= base {
+            return Outcome::NotAbove;
+        }
+        self.confirmed.add(version, digest);
+        self.config = Some(new);
+        Outcome::Taken
     }
 }
