--- a/crates/control-cell/src/actor/stores.rs
+++ b/crates/control-cell/src/actor/stores.rs
@@ -1,4 +1,4 @@
-//! The store duty: what stores tell of themselves, and orders to empty one.
+//! The store duty: what stores tell of themselves, and orders to retire one.
 use crate::duties::may_retire;
 use crate::prelude::*;
 
@@ -12,7 +12,7 @@
     at: Instant,
 }
 
-/// What an order to empty a store, or a question about one, leads to.
+/// What an order to retire a store, or a question about one, leads to.
 pub(super) enum RetireStep {
     Answer(RetireState),
     Propose(Change),
@@ -44,25 +44,15 @@
 }
 
 pub(super) fn retire_step(set: &StoreSet, store: &str, ask_only: bool) -> RetireStep {
-    let found = set.stores.iter().find(|s| s.name == store).map(|s| s.state);
-    let known = set.emptied.iter().any(|n| n == store);
-    RetireStep::Answer(match found {
-        Some(StoreState::Leaving) => RetireState::Running,
-        Some(_) if ask_only => RetireState::Unknown,
-        Some(_) if !may_retire(set) => RetireState::TooFew,
-        Some(_) => return RetireStep::Propose(leave(set, store)),
-        None if known => RetireState::Completed,
-        None => RetireState::Unknown,
-    })
-}
-
-fn leave(set: &StoreSet, store: &str) -> Change {
-    let base = set.version;
-    let next = set.next(|n| {
-        for s in n.stores.iter_mut().filter(|s| s.name == store) {
-            s.state = StoreState::Leaving;
-            s.since = base + 1;
+    let known = set.stores.iter().any(|s| s.name == store);
+    RetireStep::Answer(match set.retirement(store) {
+        Some(Retirement::Running) => RetireState::Running,
+        Some(Retirement::Completed) => RetireState::Completed,
+        None if ask_only || !known => RetireState::Unknown,
+        None if !may_retire(set) => RetireState::TooFew,
+        None => {
+            let change = Change::PutStores { base: set.version, set: set.begin_retirement(store) };
+            return RetireStep::Propose(change);
         }
-    });
-    Change::PutStores { base, set: next }
+    })
 }
--- a/crates/control-cell/tests/currency.rs
+++ b/crates/control-cell/tests/currency.rs
@@ -139,7 +139,8 @@
         zone: "a".into(),
         fresh: false,
         version: 1,
-        whole: 1,
+        caught_up: Some(VersionSpan { from: 1, to: 1 }),
+        ending: false,
     }
 }
 
