--- a/crates/agreement/src/store/mod.rs
+++ b/crates/agreement/src/store/mod.rs
@@ -1,115 +1,103 @@
-//! The agreement's disk: votes and entries in a segmented log, the snapshot beside it.
+//! The consensus disk: votes and entries in a segmented log, the snapshot beside it. What holds
+//! after a loss of power at each step stands in `docs/disk.md`.
+#![deny(missing_docs)]
+mod replay;
+mod snapshot;
+
+pub use snapshot::SnapshotWrite;
+
 use crate::core::TermLog;
 use crate::prelude::*;
+use replay::{Record, Replay};
+use snapshot::{StoredSnapshot, WriteOrder};
 
 const SNAPSHOT: &str = "snapshot";
+/// A log of more bytes than this is to be made into a snapshot.
 const SEGMENT: u64 = 16 << 20;
 
-#[derive(Serialize, Deserialize)]
-enum Rec {
-    HardState(HardState),
-    Entries { from: u64, entries: Vec<Entry> },
-}
-
+/// Votes, entries and the snapshot of one member.
+///
+/// Invariants: the snapshot in place names the segment from which its log begins, and that segment
+/// begins with all that the log held then; segments before it don't count and may be removed. A
+/// snapshot is put in place after its segment is synced, and segments are removed after the snapshot
+/// is.
 pub struct AgreementDisk {
+    disk: Arc<dyn DiskOps>,
     dir: PathBuf,
     log: SegmentLog,
+    order: WriteOrder,
 }
 
 impl AgreementDisk {
     /// Reads what was saved. The disk was never used when the returned log and vote are empty.
     pub fn open(dir: &Path) -> NodeResult<(Self, HardState, TermLog)> {
-        std::fs::create_dir_all(dir)
+        AgreementDisk::open_on(RealDisk::handle(), dir)
+    }
+
+    /// The same on a given disk.
+    pub fn open_on(disk: Arc<dyn DiskOps>, dir: &Path) -> NodeResult<(Self, HardState, TermLog)> {
+        disk.create_folder(dir)
             .map_err(|e| NodeError::Io { what: dir.display().to_string(), source: e })?;
-        let mut tl = TermLog::default();
-        if let Some(b) = load_snapshot(dir, SNAPSHOT)? {
-            tl.snap = decode(&b).ok_or_else(|| NodeError::Damaged {
-                file: SNAPSHOT.into(),
-                offset: 0,
-                reason: "not a snapshot".into(),
-            })?;
-        }
-        let mut hard = HardState::default();
-        let mut bad = false;
-        let log = SegmentLog::open(&dir.join("log"), |_, b| match decode::<Rec>(b) {
-            Some(Rec::HardState(h)) => hard = h,
-            Some(Rec::Entries { from, entries }) => {
-                tl.cut(from);
-                let next = tl.last() + 1;
-                tl.entries.extend(entries.into_iter().filter(|e| e.index >= next));
-            }
-            None => bad = true,
+        let stored = StoredSnapshot::load(&*disk, dir)?;
+        let mut replay = Replay::from_snapshot(stored);
+        let folder = dir.join("log");
+        let mut log = SegmentLog::open_on(disk.clone(), &folder, |segment, body| {
+            replay.take(segment, body);
         })?;
-        let whole =
-            tl.entries.iter().enumerate().all(|(i, e)| e.index == tl.snap.index + 1 + i as u64);
-        if bad || !whole {
-            return Err(NodeError::Damaged {
-                file: dir.display().to_string(),
-                offset: 0,
-                reason: "the log doesn't join its snapshot".into(),
-            });
-        }
-        let disk = AgreementDisk { dir: dir.to_path_buf(), log };
-        Ok((disk, hard, tl))
+        let begins_at = replay.begins_at();
+        let (hard, term_log) = replay.finish(&folder, log.has_beginning())?;
+        log.drop_below(begins_at)?;
+        let order = WriteOrder::default();
+        Ok((AgreementDisk { disk, dir: dir.to_path_buf(), log, order }, hard, term_log))
     }
 
+    /// Appends a term and vote; they last after the next sync.
     pub fn save_hard_state(&mut self, hard: HardState) {
-        self.log.append(&encode(&Rec::HardState(hard)));
+        self.log.append(&encode(&Record::HardState(hard)));
     }
 
+    /// Appends entries that take the place of all from `from` on; they last after the next sync.
     pub fn save_entries(&mut self, from: u64, entries: &[Entry]) {
-        let rec = Rec::Entries { from, entries: entries.to_vec() };
-        self.log.append(&encode(&rec));
+        let record = Record::Entries { from, entries: entries.to_vec() };
+        self.log.append(&encode(&record));
     }
 
+    /// Brings what was appended to the disk; only then may it be acknowledged.
     pub fn sync(&mut self) -> NodeResult<()> {
         self.log.sync()
     }
 
-    /// Puts the snapshot in place, then begins a segment with the vote and the entries above it.
-    pub fn save_snapshot(&mut self, hard: HardState, tl: &TermLog) -> NodeResult<()> {
-        self.log.sync()?;
-        save_snapshot(&self.dir, SNAPSHOT, &encode(&tl.snap))?;
+    /// Puts the log's snapshot in place; what stands above it goes on. Nothing was acknowledged of
+    /// an installed snapshot unless this has succeeded.
+    pub fn save_snapshot(&mut self, hard: HardState, log: &TermLog) -> NodeResult<()> {
+        let mut write = self.begin_snapshot(hard, log)?;
+        write.run()?;
+        self.finish_snapshot(write)
+    }
+
+    /// Begins the segment that belongs to a snapshot of the own log. The caller runs the write,
+    /// perhaps on another thread, and then calls `finish_snapshot`; meanwhile the log goes on. A
+    /// snapshot that was installed is put in place by `save_snapshot` only, because what follows it
+    /// doesn't join the log before it.
+    pub fn begin_snapshot(&mut self, hard: HardState, log: &TermLog) -> NodeResult<SnapshotWrite> {
         self.log.rotate()?;
-        self.save_hard_state(hard);
-        self.save_entries(tl.snap.index + 1, &tl.entries);
+        let begin = Record::Begin { hard, entries: log.entries.clone() };
+        self.log.append(&encode(&begin));
         self.log.sync()?;
-        let no = self.log.segment_no();
-        self.log.drop_below(no)
+        let stored = StoredSnapshot { log_from: self.log.segment_no(), snapshot: log.snap.clone() };
+        Ok(self.order.next_write(self.disk.clone(), self.dir.clone(), &stored))
     }
 
-    pub fn wants_snapshot(&self) -> bool {
-        self.log.segment_len() > SEGMENT
+    /// Removes the segments that a written snapshot replaces.
+    pub fn finish_snapshot(&mut self, write: SnapshotWrite) -> NodeResult<()> {
+        match write.log_from_if_in_place() {
+            Some(number) => self.log.drop_below(number),
+            None => Ok(()),
+        }
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn gives_back_votes_entries_and_snapshot() {
-        let d = std::env::temp_dir().join(format!("spokebank-agree-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&d);
-        let entry = |index, term| Entry { index, term, body: Body::Noop };
-        {
-            let (mut disk, hard, tl) = AgreementDisk::open(&d).unwrap();
-            assert_eq!((hard, tl.last()), (HardState::default(), 0));
-            disk.save_hard_state(HardState { term: 1, voted: Some(7) });
-            disk.save_entries(1, &[entry(1, 1), entry(2, 1), entry(3, 1)]);
-            disk.save_entries(3, &[entry(3, 2)]);
-            disk.sync().unwrap();
-        }
-        let (mut disk, hard, mut tl) = AgreementDisk::open(&d).unwrap();
-        assert_eq!(hard.voted, Some(7));
-        assert_eq!((tl.last(), tl.last_term()), (3, 2));
-        tl.entries.drain(..2);
-        tl.snap = Snapshot { index: 2, term: 1, ..Snapshot::default() };
-        disk.save_snapshot(hard, &tl).unwrap();
-        drop(disk);
-        let (_, hard, tl) = AgreementDisk::open(&d).unwrap();
-        assert_eq!(hard.term, 1);
-        assert_eq!((tl.snap.index, tl.last(), tl.last_term()), (2, 3, 2));
-        let _ = std::fs::remove_dir_all(&d);
+    /// Whether the log has grown enough to be made into a snapshot.
+    pub fn wants_snapshot(&self) -> bool {
+        self.log.segment_len() > SEGMENT
     }
 }
--- a/crates/node-base/src/logs.rs
+++ b/crates/node-base/src/logs.rs
@@ -4,6 +4,7 @@
 use spdlog::sink::{StdStream, StdStreamSink};
 use spdlog::{Level, LevelFilter, Logger};
 
+/// Starts the process's log at a level: off, error, warn, info or debug.
 pub fn start_logs(level: &str) -> NodeResult<()> {
     let filter = match level {
         "off" => LevelFilter::Off,
--- a/crates/node-base/src/prelude.rs
+++ b/crates/node-base/src/prelude.rs
@@ -1,5 +1,8 @@
 //! The one module every file of this package imports.
-pub use crate::disk::{load_snapshot, save_snapshot, SegmentLog};
+pub use crate::disk::{
+    load_snapshot, load_snapshot_on, load_value, save_snapshot, save_snapshot_on, DiskFile,
+    DiskOps, RealDisk, SegmentLog,
+};
 pub use crate::error::{NodeError, NodeResult};
 pub use crate::links::{decode, encode, tune_stream, Caller, LinkError, LinkResult};
 pub use crate::settings::{
--- a/crates/turn-store/src/actor/work.rs
+++ b/crates/turn-store/src/actor/work.rs
@@ -88,7 +88,7 @@
     };
     std::fs::create_dir_all(&dir)
         .map_err(|e| NodeError::Io { what: dir.display().to_string(), source: e })?;
-    let ident = match load_snapshot(&dir, "identity")?.and_then(|b| decode::<Identity>(&b)) {
+    let ident = match load_value::<Identity>(&dir, "identity")? {
         Some(i) => i,
         None => {
             let whole = settings.first_start.then_some((FIRST_VERSION, FIRST_VERSION));
