--- a/crates/node-base/tests/disk.rs
+++ b/crates/node-base/tests/disk.rs
@@ -196,6 +196,31 @@
     .budget_ms(3000);
 }
 
+/// A disk whose syncs keep failing, or that stays full, ends in an error and no acknowledgement; what
+/// was acknowledged before is still there.
+#[test]
+fn a_disk_that_stays_faulty_is_given_up() {
+    let stays_faulty = Trouble {
+        steps_until_sync_fails: Some(0),
+        more_failing_syncs: u32::MAX,
+        ..Trouble::default()
+    };
+    let stays_full =
+        Trouble { steps_until_full: Some(0), pauses_until_free: u32::MAX, ..Trouble::default() };
+    for (seed, trouble) in [(1, stays_faulty), (2, stays_full)] {
+        let disk = SimulatedDisk::new(seed);
+        let (mut log, _) = open(&disk).unwrap();
+        log.append(&1u64.to_le_bytes());
+        log.sync().unwrap();
+        disk.set_trouble(trouble);
+        log.append(&2u64.to_le_bytes());
+        assert!(matches!(log.sync(), Err(NodeError::Io { .. })));
+        assert!(save_snapshot_on(&*disk.handle(), Path::new(DIR), "s", b"x").is_err());
+        let (_, read) = recover(&disk, &[]);
+        assert_eq!(read.first().map(|r| r.record), Some(1));
+    }
+}
+
 /// A snapshot is the old or the new one, whole, and the new one once the call has succeeded.
 #[test]
 fn a_snapshot_is_whole_after_a_cut_at_any_step() {
--- a/crates/simulated-disk/src/lib.rs
+++ b/crates/simulated-disk/src/lib.rs
@@ -23,6 +23,8 @@
     pub pauses_until_free: u32,
     /// This many more steps are carried out before one sync fails.
     pub steps_until_sync_fails: Option<u64>,
+    /// How many syncs fail after that one.
+    pub more_failing_syncs: u32,
 }
 
 /// A disk in memory. Clones are the same disk.
@@ -84,11 +86,15 @@
     }
 
     fn sync_fails(&mut self) -> bool {
-        let fails = self.trouble.steps_until_sync_fails == Some(0);
-        if fails {
-            self.trouble.steps_until_sync_fails = None;
+        let trouble = &mut self.trouble;
+        if trouble.steps_until_sync_fails != Some(0) {
+            return false;
         }
-        fails
+        match trouble.more_failing_syncs {
+            0 => trouble.steps_until_sync_fails = None,
+            more => trouble.more_failing_syncs = more - 1,
+        }
+        true
     }
 
     /// A step on names: done, or cut short with or without having begun.
