--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -154,11 +154,8 @@
         self.node.leads()
     }
 
-    /// Whether this cell leads and its state holds all that was agreed on in earlier terms: an entry of
-    /// its own term is applied.
     pub fn leads_with_current_state(&self) -> bool {
-        let term = self.node.log.term_at(self.node.applied);
-        self.leads() && term == Some(self.node.hard.term)
+        leads_with_current_state(&self.node)
     }
 
     pub fn members(&self) -> &[Member] {
--- a/crates/control-cell/src/actor/duties.rs
+++ b/crates/control-cell/src/actor/duties.rs
@@ -4,15 +4,15 @@
 use crate::prelude::*;
 use node_base::settings::CELL_PORT;
 
-/// A holder that hasn't answered for this long gives its zones to another: the platform's list must be
+/// A holder that hasn't answered for this long loses its zones to another: the platform's list must be
 /// read well within the time in which leaving engines are to be left alone.
 const HOLDER_SILENT: Duration = Duration::from_millis(600);
-/// A member that heard a leader within this doesn't ask to be taken in.
+/// A member in contact within this doesn't ask to be taken in.
 const JOIN_CONTACT: Duration = Duration::from_millis(1500);
 
 impl Actor {
     pub fn duties(&mut self, now: Instant) -> bool {
-        self.feed.beat(now, self.driver.vouches());
+        self.feed.heartbeat(now, self.driver.vouches());
         self.desk.retain_readers(|r| !r.is_gone());
         for t in self.zones.due(now, self.desk.state(), self.driver.me.id) {
             self.tell_table(&t);
@@ -36,9 +36,9 @@
         if !self.members.join_due(now) {
             return;
         }
-        let heard = self.driver.contact_within(JOIN_CONTACT);
+        let in_contact = self.driver.contact_within(JOIN_CONTACT);
         let known = self.driver.members().contains(&self.driver.me);
-        if heard && known || self.ending.is_some() {
+        if in_contact && known || self.ending.is_some() {
             return;
         }
         let mut addrs: BTreeSet<String> = self
@@ -84,7 +84,7 @@
         next_holders(&self.desk.state().holders, &zones, self.driver.members(), alive)
     }
 
-    /// A store's word about itself goes to the leader.
+    /// A store's status report goes to the leader.
     pub fn announced(&mut self, status: StoreStatus) {
         if self.driver.leads() {
             self.stores.announced(status);
@@ -100,7 +100,7 @@
             return;
         }
         let to = match self.driver.leads() {
-            true => self.heard_last(),
+            true => self.last_contacted(),
             false => self.leader_addr(),
         };
         if let Some(a) = to {
@@ -108,8 +108,8 @@
         }
     }
 
-    /// The other member that the leader heard last.
-    fn heard_last(&self) -> Option<String> {
+    /// The other member that this leader had contact with last.
+    fn last_contacted(&self) -> Option<String> {
         let others = self.driver.members().iter().filter(|m| m.id != self.driver.me.id);
         others.max_by_key(|m| self.driver.node.last_contact_with(m.id)).map(|m| m.addr.clone())
     }
--- a/crates/control-cell/src/actor/handle.rs
+++ b/crates/control-cell/src/actor/handle.rs
@@ -8,7 +8,7 @@
 }
 
 impl<T> Waiting<T> {
-    /// Answers; one that is gone isn't told.
+    /// Answers, if somebody still waits.
     pub fn answer(self, value: T) {
         let _ = self.reply.send(value);
     }
@@ -29,7 +29,7 @@
     }
 }
 
-/// What the actor is asked for or told.
+/// What the actor is asked for or notified of.
 pub enum CellCommand {
     /// A call that is answered.
     Call(CellCall, Waiting<CellReply>),
@@ -71,7 +71,7 @@
 const CALL_WITHIN: Duration = Duration::from_millis(2500);
 /// A follower gives a link up after a second of silence.
 const FOLLOW_WITHIN: Duration = Duration::from_millis(900);
-/// How long a cell that ends waits for its last word to get out.
+/// How long a cell that ends waits for its last message to get out.
 const LEAVE_WITHIN: Duration = Duration::from_secs(2);
 
 impl CellHandle {
@@ -119,7 +119,7 @@
         self.ask(CellCall::Retire { store, ask_only }, deadline).await
     }
 
-    /// A store's word about itself.
+    /// A store's status report.
     pub fn announce(&self, status: StoreStatus) {
         let _ = self.queue.try_send(CellCommand::Tell(CellCall::Announce { status }));
     }
--- a/crates/control-cell/src/actor/links.rs
+++ b/crates/control-cell/src/actor/links.rs
@@ -1,4 +1,4 @@
-//! Connections to the other cells, and where each was heard from.
+//! Connections to the other cells, and the address each sent from.
 use crate::prelude::*;
 
 #[derive(Default)]
@@ -9,7 +9,7 @@
 }
 
 impl CellLinks {
-    pub fn heard_from(&mut self, id: u64, addr: String) {
+    pub fn received_from(&mut self, id: u64, addr: String) {
         self.addrs.insert(id, addr);
     }
 
--- a/crates/control-cell/src/actor/mod.rs
+++ b/crates/control-cell/src/actor/mod.rs
@@ -10,8 +10,8 @@
 mod membership;
 mod publish;
 mod run;
+mod status;
 mod stores;
-mod told;
 mod trial;
 mod zones;
 
--- a/crates/control-cell/src/actor/publish.rs
+++ b/crates/control-cell/src/actor/publish.rs
@@ -43,13 +43,13 @@
         let Actor { desk, driver, zones, .. } = self;
         let state = desk.state();
         self.feed.open(from, || {
-            let mut whole: Vec<FeedItem> = Vec::new();
-            whole.extend(config_item(state));
-            whole.extend(stores_item(state));
-            whole.push(cells_item(driver.node.log.members_index(), driver.members()));
-            whole.extend(trial_item(state));
-            whole.extend(zones.tables().cloned().map(FeedItem::Zone));
-            whole
+            let mut items: Vec<FeedItem> = Vec::new();
+            items.extend(config_item(state));
+            items.extend(stores_item(state));
+            items.push(cells_item(driver.node.log.members_index(), driver.members()));
+            items.extend(trial_item(state));
+            items.extend(zones.tables().cloned().map(FeedItem::Zone));
+            items
         })
     }
 
--- a/crates/control-cell/src/actor/run.rs
+++ b/crates/control-cell/src/actor/run.rs
@@ -13,7 +13,7 @@
 const DUTY_EVERY: Duration = Duration::from_millis(200);
 /// How long a leader that ends stays to hand its lead over.
 const HAND_OVER: Duration = Duration::from_millis(1200);
-/// How long a follower that ends stays so that its word gets out.
+/// How long a follower that ends stays so that its last message gets out.
 const LEAVE_WORD: Duration = Duration::from_millis(300);
 
 /// Who waits for an order.
@@ -103,7 +103,7 @@
     }
 }
 
-/// A cell that was told to end, and who waits for it.
+/// The end of a cell, and who waits for it.
 pub(super) struct Ending {
     at: Instant,
     done: oneshot::Sender<()>,
@@ -203,7 +203,7 @@
 
     fn command(&mut self, cmd: CellCommand) -> bool {
         match cmd {
-            CellCommand::Tell(call) => return self.told_by(call),
+            CellCommand::Tell(call) => return self.one_way(call),
             CellCommand::Outcomes(reports) => self.took_outcomes(reports),
             CellCommand::Call(call, waiting) => return self.called(call, waiting),
             CellCommand::Listed { zone, epoch, engines } => self.listed(zone, epoch, engines),
@@ -220,10 +220,10 @@
         true
     }
 
-    fn told_by(&mut self, call: CellCall) -> bool {
+    fn one_way(&mut self, call: CellCall) -> bool {
         match call {
             CellCall::Agree { from, addr, msg } => {
-                self.links.heard_from(from, addr);
+                self.links.received_from(from, addr);
                 return self.agree_on(Event::Received { from, msg });
             }
             CellCall::Table { table } => self.take_table(table),
--- a/crates/control-cell/src/actor/told.rs
+++ b/crates/control-cell/src/actor/status.rs
@@ -1,9 +1,10 @@
-//! What a cell tells of itself to those who look after it.
+//! A cell's status, for those who look after it.
 use super::run::Actor;
 use crate::prelude::*;
 
 impl Actor {
-    pub fn told(&self) -> CellTold {
+    /// This cell's own view; it needs no majority.
+    pub fn status(&self) -> CellTold {
         let node = &self.driver.node;
         let members = self.driver.members();
         let name = |id: &u64| {
--- a/crates/control-cell/src/actor/trial.rs
+++ b/crates/control-cell/src/actor/trial.rs
@@ -5,8 +5,8 @@
 const MOST_POINTS: usize = 128;
 /// Reports in one message to the leader.
 const REPORTS_AT_ONCE: usize = 64;
-/// The leader is told all that a cell keeps this often, and at once when it is new.
-const TELL_ALL: Duration = Duration::from_secs(10);
+/// The leader is sent all that a cell keeps this often, and at once when it is new.
+const REPORT_ALL: Duration = Duration::from_secs(10);
 
 /// Invariants: `ledger` is of the trial that runs; the leader's holds what all cells passed on. All of it
 /// lies in memory, at two cells: the one the node follows and the leader, or the leader and another. What
@@ -17,10 +17,15 @@
     points: Vec<Point>,
     stride: usize,
     looks: usize,
-    /// Something was told since the last look.
-    news: bool,
-    /// The leader that was told all that this cell keeps, and when it is told again: messages get lost.
-    told: Option<(u64, Instant)>,
+    /// Something was reported since the last look.
+    unjudged: bool,
+    /// The last report of all that this cell keeps; it is repeated, since messages get lost.
+    reported: Option<Reported>,
+}
+
+struct Reported {
+    leader: u64,
+    next: Instant,
 }
 
 impl TrialDesk {
@@ -59,17 +64,17 @@
             return Vec::new();
         }
         reports.retain(|r| self.ledger.take(r.clone()));
-        self.news |= !reports.is_empty();
+        self.unjudged |= !reports.is_empty();
         reports
     }
 
-    /// All that this cell keeps, in messages, when the leader is due to be told: first of all one that is
+    /// All that this cell keeps, in messages, when a report to the leader is due: first of all to one that is
     /// new to it.
     pub fn due_to(&mut self, leader: u64, now: Instant) -> Vec<Vec<NodeReport>> {
-        if self.told.is_some_and(|(told, next)| told == leader && now < next) {
+        if self.reported.as_ref().is_some_and(|r| r.leader == leader && now < r.next) {
             return Vec::new();
         }
-        self.told = Some((leader, now + TELL_ALL));
+        self.reported = Some(Reported { leader, next: now + REPORT_ALL });
         let all: Vec<NodeReport> = self.ledger.reports().cloned().collect();
         all.chunks(REPORTS_AT_ONCE).map(<[NodeReport]>::to_vec).collect()
     }
@@ -77,8 +82,8 @@
     /// The leader's look at what has come in: the trial's end, when there is a verdict.
     pub fn judge(&mut self, state: &CellState) -> Option<Change> {
         // Whoever leads next is new to this cell.
-        self.told = None;
-        if !self.news {
+        self.reported = None;
+        if !self.unjudged {
             return None;
         }
         let trial = state.trial.as_ref().filter(|t| t.is_running())?;
@@ -89,7 +94,7 @@
             self.note(p);
         }
         if verdict == Verdict::Running {
-            self.news = false;
+            self.unjudged = false;
             return None;
         }
         info!("routing trial {} ends: {:?}", trial.spec.id, verdict);
--- a/crates/control-cell/src/actor/zones.rs
+++ b/crates/control-cell/src/actor/zones.rs
@@ -2,8 +2,8 @@
 use crate::listing::Held;
 use crate::prelude::*;
 
-/// How often a holder tells its tables again: messages get lost.
-const TELL_AGAIN: Duration = Duration::from_millis(2500);
+/// How often a holder sends its tables again: messages get lost.
+const SEND_AGAIN: Duration = Duration::from_millis(2500);
 
 /// Invariant: a zone's table only goes on to a higher (epoch, sequence).
 pub(super) struct ZoneDesk {
@@ -55,7 +55,7 @@
                 }
                 (t.seq + 1).max(first)
             }
-            // A table of this cell's life before, or of another holder, is told anew whatever it says.
+            // A table of this cell's life before, or of another holder, is published anew whatever it says.
             _ => first,
         };
         Some(ZoneTable { zone, epoch, seq, engines })
@@ -73,17 +73,17 @@
         newer
     }
 
-    /// The tables of the zones held here that are due to be told again.
+    /// The tables of the zones held here that are due to be sent again.
     pub fn due(&mut self, now: Instant, state: &CellState, me: u64) -> Vec<ZoneTable> {
         if now < self.next_table {
             return Vec::new();
         }
-        self.next_table = now + TELL_AGAIN;
+        self.next_table = now + SEND_AGAIN;
         self.tables().filter(|t| state.holders.get(&t.zone) == Some(&me)).cloned().collect()
     }
 }
 
-/// What merely ages is no news.
+/// Whether two lists differ in nothing but age.
 fn says_the_same(had: &[EngineEntry], has: &[EngineEntry]) -> bool {
     had.len() == has.len()
         && had.iter().zip(has).all(|(a, b)| {
--- a/crates/control-cell/src/feed/mod.rs
+++ b/crates/control-cell/src/feed/mod.rs
@@ -5,8 +5,8 @@
 /// Encoded `FeedMsg::Items`.
 pub type FeedReceiver = mpsc::Receiver<Bytes>;
 
-/// How often followers are told that this cell still has a majority.
-const BEAT: Duration = Duration::from_millis(400);
+/// How often followers get a heartbeat: this cell still has a majority.
+const HEARTBEAT: Duration = Duration::from_millis(400);
 /// Items kept for followers that come back.
 pub const KEPT: usize = 64;
 /// Bytes of configurations among them: a few of the largest.
@@ -21,9 +21,9 @@
     no: u64,
     recent: VecDeque<Numbered>,
     followers: Vec<Follower>,
-    /// The configuration told last, which the next one is told as a difference to.
+    /// The configuration published last, which the next one is published as a difference to.
     last_config: Option<TakenConfig>,
-    next_beat: Instant,
+    next_heartbeat: Instant,
 }
 
 struct Follower {
@@ -53,7 +53,7 @@
 
 /// A follower's feed, opened.
 pub struct OpenedFeed {
-    /// What it is told from now on.
+    /// Frames from now on.
     pub items: FeedReceiver,
     /// The feed's identity.
     pub feed: u64,
@@ -67,7 +67,7 @@
             recent: VecDeque::new(),
             last_config: None,
             followers: Vec::new(),
-            next_beat: Instant::now(),
+            next_heartbeat: Instant::now(),
         }
     }
 }
@@ -83,12 +83,12 @@
         self.recent.iter()
     }
 
-    /// Takes in a follower that is told what comes from now on.
+    /// Takes in a follower for what comes from now on.
     pub fn add_follower(&mut self, wants: Wants, frames: mpsc::Sender<Bytes>) {
         self.followers.push(Follower { wants, frames });
     }
 
-    /// Numbers an item and tells it to those who take it.
+    /// Numbers an item and sends it to those who take it.
     pub fn publish(&mut self, item: FeedItem) {
         self.no += 1;
         let n = Numbered { no: self.no, item };
@@ -116,7 +116,7 @@
         });
     }
 
-    /// Tells a configuration, as a difference to the one told before where that is much smaller.
+    /// Publishes a configuration, as a difference to the one before where that is much smaller.
     pub fn publish_config(&mut self, config: &TakenConfig) {
         let TakenConfig { index, version, body } = config.clone();
         let last = self.last_config.replace(config.clone());
@@ -129,8 +129,12 @@
         });
     }
 
-    /// Opens a follower's feed: from its place when it is still here, else from `whole`.
-    pub fn open(&mut self, from: FollowFrom, whole: impl FnOnce() -> Vec<FeedItem>) -> OpenedFeed {
+    /// Opens a follower's feed: from its place when it is still here, else from a `snapshot`.
+    pub fn open(
+        &mut self,
+        from: FollowFrom,
+        snapshot: impl FnOnce() -> Vec<FeedItem>,
+    ) -> OpenedFeed {
         let FollowFrom { feed, no, wants } = from;
         let (tx, rx) = mpsc::channel(256);
         let oldest = self.recent.front().map_or(self.no + 1, |n| n.no);
@@ -138,7 +142,7 @@
         if wants.patches && feed == self.id && no + 1 >= oldest && no <= self.no {
             items.extend(self.recent.iter().filter(|n| n.no > no).cloned());
         } else {
-            items.extend(whole().into_iter().map(|item| Numbered { no: self.no, item }));
+            items.extend(snapshot().into_iter().map(|item| Numbered { no: self.no, item }));
         }
         items.push(Numbered { no: self.no, item: FeedItem::Current });
         items.retain(|n| n.item.is_of(wants.topics));
@@ -147,15 +151,15 @@
         OpenedFeed { items: rx, feed: self.id }
     }
 
-    /// Tells followers that this cell still has a majority, or lets them go at once.
-    pub fn beat(&mut self, now: Instant, vouches: bool) {
+    /// Sends followers a heartbeat, or lets them go at once when this cell can't vouch for its state.
+    pub fn heartbeat(&mut self, now: Instant, vouches: bool) {
         if !vouches {
             self.followers.clear();
         }
-        if now < self.next_beat || self.followers.is_empty() {
+        if now < self.next_heartbeat || self.followers.is_empty() {
             return;
         }
-        self.next_beat = now + BEAT;
+        self.next_heartbeat = now + HEARTBEAT;
         self.send(&Numbered { no: self.no, item: FeedItem::Beat });
     }
 }
--- a/crates/control-cell/src/follow/mod.rs
+++ b/crates/control-cell/src/follow/mod.rs
@@ -22,7 +22,7 @@
     let Some(FollowMsg::Follow { feed, no, topics, patches, .. }) = first else {
         return;
     };
-    // What follows is only told once a majority has confirmed that this cell is not cut off.
+    // What follows is only sent once a majority has confirmed that this cell is not cut off.
     let from = FollowFrom { feed, no, wants: Wants { topics, patches } };
     let Some(OpenedFeed { mut items, feed: opened }) = cell.follow(from).await else {
         return;
--- a/crates/control-cell/src/lib.rs
+++ b/crates/control-cell/src/lib.rs
@@ -14,7 +14,7 @@
 use crate::prelude::*;
 use node_base::settings::{CELL_PORT, FEED_PORT};
 
-/// Runs a cell until it is told to end.
+/// Runs a cell until SIGTERM.
 pub async fn run_cell(settings: NodeSettings) -> NodeResult<()> {
     let settings = Arc::new(settings);
     let bind = |addr: String| async move {
--- a/crates/control-cell/src/listing/pace.rs
+++ b/crates/control-cell/src/listing/pace.rs
@@ -7,7 +7,7 @@
 const LIVELY: Duration = Duration::from_secs(6);
 
 /// Invariant: `calm` leaves, after the longest pause, more than half of the time in which leaving
-/// engines are to be left alone for the news to travel and for one lost reader to be replaced.
+/// engines are to be left alone for the change to travel and for one lost reader to be replaced.
 pub struct ListPace {
     calm: Duration,
     /// Of each zone what its last list said, and until when it is read quickly.
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -2,7 +2,9 @@
 pub use crate::actor::{CellCommand, CellHandle, Waiting};
 pub use crate::duties::{next_holders, next_members, next_stores, StoreObservation};
 pub use crate::feed::{FeedBook, FollowFrom, OpenedFeed, Wants, KEPT, KEPT_BYTES};
-pub use crate::orders::{ChangedPart, DeskEvent, OrderDesk, UnreadableState};
+pub use crate::orders::{
+    leads_with_current_state, ChangedPart, DeskEvent, OrderDesk, UnreadableState,
+};
 pub use crate::state::{order_digest, CellState, ConfirmedOrders};
 pub use agreement::prelude::{AgreementDisk, ConsensusNode, Effect, Event, HardState, Tuning};
 pub use inner_protocol::cells::{
--- a/crates/control-cell/tests/history_model/world.rs
+++ b/crates/control-cell/tests/history_model/world.rs
@@ -1,5 +1,5 @@
 //! The cells, the network between them, and operators who send again until they are answered.
-use super::cells::{Attempt, Cell, Packet};
+use super::cells::{body_of, Attempt, Cell, Packet};
 use super::spec::{Config, GetAnswer, OneCopy, Op, Order, PutAnswer};
 use arbtest::arbitrary::{Result, Unstructured};
 use control_cell::prelude::*;
@@ -49,8 +49,26 @@
     fn at(&mut self, id: u64, act: impl FnOnce(&mut Cell, Duration)) {
         let now = self.now;
         let cell = self.cells.get_mut(&id).unwrap();
+        let was_current = leads_with_current_state(&cell.node);
         act(cell, now);
         self.flight.append(&mut cell.out);
+        if !was_current && leads_with_current_state(&cell.node) {
+            self.check_new_leader(id);
+        }
+    }
+
+    /// A leader whose state counts as current knows all that was acknowledged in earlier terms.
+    fn check_new_leader(&self, id: u64) {
+        let leader = &self.cells[&id];
+        let newest_term = self.cells.values().map(|c| c.node.hard.term).max();
+        if newest_term != Some(leader.node.hard.term) {
+            return;
+        }
+        for order in self.acknowledged() {
+            let digest = order_digest(&body_of(&order));
+            let known = leader.desk.state().confirmed.has(order.version, &digest);
+            assert!(known, "a new leader doesn't know {order:?}");
+        }
     }
 
     pub fn tick(&mut self, by: Duration) {
@@ -327,7 +345,7 @@
             for cell in self.cells.values().filter(|_| refused && !confirmed) {
                 let config = Some(Config { version: order.version, body: order.body });
                 assert_ne!(cell.config(), config, "refused and in force");
-                let digest = order_digest(&super::cells::body_of(order));
+                let digest = order_digest(&body_of(order));
                 let known = cell.desk.state().confirmed.has(order.version, &digest);
                 assert!(!known, "refused and on record: {order:?}");
             }
