--- a/crates/control-cell/tests/common/mod.rs
+++ b/crates/control-cell/tests/common/mod.rs
@@ -9,8 +9,9 @@
 
 /// Where a test's cells are: a loopback network of their own and a folder that goes with it.
 pub struct Place {
-    pub net: u8,
-    pub dir: PathBuf,
+    /// The first three parts of the cells' addresses: of one test of one process.
+    net: String,
+    dir: PathBuf,
 }
 
 /// A running cell. Dropped, it ends like one that was killed.
@@ -29,9 +30,11 @@
 }
 
 impl Place {
-    pub fn new(net: u8) -> Self {
-        let dir =
-            std::env::temp_dir().join(format!("spokebank-cells-{net}-{}", std::process::id()));
+    pub fn new(test: u8) -> Self {
+        let process = std::process::id();
+        // Runs of the same test at the same time keep out of each other's way.
+        let net = format!("127.{}.{test}", 1 + process % 250);
+        let dir = std::env::temp_dir().join(format!("spokebank-cells-{test}-{process}"));
         let _ = std::fs::remove_dir_all(&dir);
         std::fs::create_dir_all(&dir).unwrap();
         Place { net, dir }
@@ -39,12 +42,12 @@
 
     fn settings(&self, i: usize) -> NodeSettings {
         let Place { net, dir } = self;
-        let seeds: Vec<String> = (61..=63).map(|n| format!("\"127.0.{net}.{n}:1\"")).collect();
+        let seeds: Vec<String> = (61..=63).map(|n| format!("\"{net}.{n}:1\"")).collect();
         let text = format!(
-            "nodeName = \"core-{i}\"\nmachineClass = \"core\"\nipAddress = \"127.0.{net}.{}\"\nzone = \"a\"\n\
+            "nodeName = \"core-{i}\"\nmachineClass = \"core\"\nipAddress = \"{net}.{}\"\nzone = \"a\"\n\
              internalPortRange = [{PORTS},{}]\nseedAddresses = [{}]\nfirstStart = true\n\
              dataDirectory = \"{}\"\n[zones]\na = \"r\"\n[listenAddresses]\n\
-             control = \"127.0.{net}.{}:28144\"\n[limits]\nmemoryMb = 256\nfileDescriptors = 2000\n\
+             control = \"{net}.{}:28144\"\n[limits]\nmemoryMb = 256\nfileDescriptors = 2000\n\
              diskMb = 64\n",
             60 + i,
             PORTS + 15,
