--- a/crates/control-cell/tests/history_model/world.rs
+++ b/crates/control-cell/tests/history_model/world.rs
@@ -174,13 +174,16 @@
         }
     }
 
-    fn cut(&mut self, id: u64, hears: bool, is_heard: bool) {
-        for other in self.ids().into_iter().filter(|i| *i != id) {
+    /// Cuts some cells off from the others; each side stays whole.
+    fn cut(&mut self, side: &[u64], hears: bool, is_heard: bool) {
+        let ids = self.ids();
+        let other_side = ids.iter().filter(|i| !side.contains(i));
+        for (here, there) in other_side.flat_map(|o| side.iter().map(move |s| (*s, *o))) {
             if !is_heard {
-                self.cuts.insert((id, other));
+                self.cuts.insert((here, there));
             }
             if !hears {
-                self.cuts.insert((other, id));
+                self.cuts.insert((there, here));
             }
         }
     }
@@ -247,7 +250,7 @@
                 let leads = ids.iter().copied().find(|i| self.cells[i].node.leads());
                 let cut =
                     leads.filter(|_| u.ratio(2, 3).unwrap_or(false)).unwrap_or(*u.choose(&ids)?);
-                self.cut(cut, u.arbitrary()?, u.arbitrary()?);
+                self.cut(&[cut], u.arbitrary()?, u.arbitrary()?);
             }
             20 => self.cuts.clear(),
             21 => drop(self.frozen.insert(*u.choose(&ids)?)),
@@ -264,6 +267,12 @@
                 let call = *u.choose(&self.open())?;
                 self.send(call, *u.choose(&ids)?);
             }
+            38 => {
+                // Several on one side, the smaller or the larger.
+                let side = &ids[..u.int_in_range(2..=ids.len() - 1)?];
+                self.cut(side, u.ratio(1, 4)?, u.ratio(1, 4)?);
+            }
+            39 if u.ratio(1, 3)? => ids.iter().for_each(|id| self.crash(*id, true)),
             _ => {}
         }
         Ok(())
