--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -169,7 +169,7 @@
 
 fn read_state(dir: &Path, snap: &Snapshot) -> NodeResult<CellState> {
     // Another version's state is not dropped for an empty one.
-    CellState::read(&snap.data).ok_or_else(|| NodeError::Damaged {
+    CellState::of_snapshot(snap).ok_or_else(|| NodeError::Damaged {
         file: dir.join("agreement/snapshot").display().to_string(),
         offset: 0,
         reason: "the agreed state can't be read: damaged, or of another version".into(),
--- a/crates/control-cell/src/orders/desk.rs
+++ b/crates/control-cell/src/orders/desk.rs
@@ -159,7 +159,7 @@
 
     fn restore(&mut self, snap: &Snapshot) -> Result<Vec<DeskEvent<W, R>>, UnreadableState> {
         let index = snap.index;
-        self.state = CellState::read(&snap.data).ok_or(UnreadableState { index })?;
+        self.state = CellState::of_snapshot(snap).ok_or(UnreadableState { index })?;
         self.applied = index;
         let mut events = vec![DeskEvent::Restored];
         events.extend(self.ready());
--- a/crates/control-cell/src/state/mod.rs
+++ b/crates/control-cell/src/state/mod.rs
@@ -47,11 +47,16 @@
 }
 
 impl CellState {
-    /// Reads the state from a snapshot; that of a cell that never had one is empty.
-    pub fn read(data: &[u8]) -> Option<Self> {
-        if data.is_empty() {
-            return Some(CellState::default());
+    /// The state that a snapshot holds; that of a log without one is empty. None when it can't be read.
+    pub fn of_snapshot(snap: &Snapshot) -> Option<Self> {
+        match snap.index {
+            0 => Some(CellState::default()),
+            _ => CellState::read(&snap.data),
         }
+    }
+
+    /// Reads a state as it is kept in snapshots.
+    pub fn read(data: &[u8]) -> Option<Self> {
         let mut state: CellState = decode(data)?;
         if let Some(c) = state.config.as_ref().filter(|_| state.confirmed.is_empty()) {
             state.confirmed.add(c.version, order_digest(&c.body));
--- a/crates/control-cell/tests/history_model/cells.rs
+++ b/crates/control-cell/tests/history_model/cells.rs
@@ -105,7 +105,7 @@
     }
 
     fn start(id: u64, life: u64, hard: HardState, disk: TermLog) -> Self {
-        let state = CellState::read(&disk.snap.data).unwrap();
+        let state = CellState::of_snapshot(&disk.snap).unwrap();
         let seed = id * 77 + life;
         let node = ConsensusNode::new(id, hard, disk.clone(), Tuning::default(), seed);
         let desk = OrderDesk::new(state, node.applied);
