--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -172,11 +172,8 @@
         self.node.leads()
     }
 
-    /// Whether this cell leads and its state holds all that was agreed on in earlier terms: an entry of
-    /// its own term is applied.
     pub fn leads_with_current_state(&self) -> bool {
-        let term = self.node.log.term_at(self.node.applied);
-        self.leads() && term == Some(self.node.hard.term)
+        leads_with_current_state(&self.node)
     }
 
     pub fn members(&self) -> &[Member] {
@@ -197,7 +194,7 @@
 
 fn read_state(dir: &Path, snap: &Snapshot) -> NodeResult<CellState> {
     // Another version's state is not dropped for an empty one.
-    CellState::read(&snap.data).ok_or_else(|| NodeError::Damaged {
+    CellState::of_snapshot(snap).ok_or_else(|| NodeError::Damaged {
         file: dir.join("agreement/snapshot").display().to_string(),
         offset: 0,
         reason: "the agreed state can't be read: damaged, or of another version".into(),
--- a/crates/control-cell/tests/history_model/world.rs
+++ b/crates/control-cell/tests/history_model/world.rs
@@ -1,5 +1,5 @@
 //! The cells, the network between them, and operators who send again until they are answered.
-use super::cells::{Attempt, Cell, Packet};
+use super::cells::{body_of, Attempt, Cell, Packet};
 use super::spec::{Config, GetAnswer, OneCopy, Op, Order, PutAnswer};
 use arbtest::arbitrary::{Result, Unstructured};
 use control_cell::prelude::*;
@@ -49,8 +49,26 @@
     fn at(&mut self, id: u64, act: impl FnOnce(&mut Cell, Duration)) {
         let now = self.now;
         let cell = self.cells.get_mut(&id).unwrap();
+        let was_current = leads_with_current_state(&cell.node);
         act(cell, now);
         self.flight.append(&mut cell.out);
+        if !was_current && leads_with_current_state(&cell.node) {
+            self.check_new_leader(id);
+        }
+    }
+
+    /// A leader whose state counts as current knows all that was acknowledged in earlier terms.
+    fn check_new_leader(&self, id: u64) {
+        let leader = &self.cells[&id];
+        let newest_term = self.cells.values().map(|c| c.node.hard.term).max();
+        if newest_term != Some(leader.node.hard.term) {
+            return;
+        }
+        for order in self.acknowledged() {
+            let digest = order_digest(&body_of(&order));
+            let known = leader.desk.state().confirmed.has(order.version, &digest);
+            assert!(known, "a new leader doesn't know {order:?}");
+        }
     }
 
     pub fn tick(&mut self, by: Duration) {
@@ -156,13 +174,16 @@
         }
     }
 
-    fn cut(&mut self, id: u64, hears: bool, is_heard: bool) {
-        for other in self.ids().into_iter().filter(|i| *i != id) {
+    /// Cuts some cells off from the others; each side stays whole.
+    fn cut(&mut self, side: &[u64], hears: bool, is_heard: bool) {
+        let ids = self.ids();
+        let other_side = ids.iter().filter(|i| !side.contains(i));
+        for (here, there) in other_side.flat_map(|o| side.iter().map(move |s| (*s, *o))) {
             if !is_heard {
-                self.cuts.insert((id, other));
+                self.cuts.insert((here, there));
             }
             if !hears {
-                self.cuts.insert((other, id));
+                self.cuts.insert((there, here));
             }
         }
     }
@@ -229,7 +250,7 @@
                 let leads = ids.iter().copied().find(|i| self.cells[i].node.leads());
                 let cut =
                     leads.filter(|_| u.ratio(2, 3).unwrap_or(false)).unwrap_or(*u.choose(&ids)?);
-                self.cut(cut, u.arbitrary()?, u.arbitrary()?);
+                self.cut(&[cut], u.arbitrary()?, u.arbitrary()?);
             }
             20 => self.cuts.clear(),
             21 => drop(self.frozen.insert(*u.choose(&ids)?)),
@@ -246,6 +267,12 @@
                 let call = *u.choose(&self.open())?;
                 self.send(call, *u.choose(&ids)?);
             }
+            38 => {
+                // Several on one side, the smaller or the larger.
+                let side = &ids[..u.int_in_range(2..=ids.len() - 1)?];
+                self.cut(side, u.ratio(1, 4)?, u.ratio(1, 4)?);
+            }
+            39 if u.ratio(1, 3)? => ids.iter().for_each(|id| self.crash(*id, true)),
             _ => {}
         }
         Ok(())
@@ -327,7 +354,7 @@
             for cell in self.cells.values().filter(|_| refused && !confirmed) {
                 let config = Some(Config { version: order.version, body: order.body });
                 assert_ne!(cell.config(), config, "refused and in force");
-                let digest = order_digest(&super::cells::body_of(order));
+                let digest = order_digest(&body_of(order));
                 let known = cell.desk.state().confirmed.has(order.version, &digest);
                 assert!(!known, "refused and on record: {order:?}");
             }
