--- a/crates/turn-store/src/actor/work.rs
+++ b/crates/turn-store/src/actor/work.rs
@@ -3,8 +3,11 @@
 use crate::prelude::*;
 use node_base::settings::STORE_PORT;
 
+/// What the owner of the tables is asked to do.
 pub enum StoreCommand {
+    /// A call of another process, and where its answer goes.
     Call(Box<StoreCall>, oneshot::Sender<StoreReply>),
+    /// A store set, perhaps a newer one.
     Learn(StoreSet),
     /// Rows of another store; gives back which turns, as (program, id), are not here.
     Merge(Vec<SyncRow>, oneshot::Sender<Vec<(String, String)>>),
@@ -12,8 +15,11 @@
     Keep(Vec<(String, TurnRecord)>, oneshot::Sender<()>),
     /// A store has transferred everything under the set of this version.
     Transferred {
+        /// The version of the set that both worked under.
         version: u64,
+        /// The store that transferred.
         from: u64,
+        /// The versions at which that store was caught up.
         caught_up: Option<VersionSpan>,
     },
     /// The process was told to stop.
@@ -28,6 +34,7 @@
     Turns(oneshot::Sender<()>),
 }
 
+/// The way to the owner of the tables.
 #[derive(Clone)]
 pub struct StoreHandle {
     queue: mpsc::Sender<StoreCommand>,
@@ -36,12 +43,14 @@
 }
 
 impl StoreHandle {
+    /// Has a call answered; none when the store is ending.
     pub async fn answer(&self, q: StoreCall) -> Option<StoreReply> {
         let (tx, rx) = oneshot::channel();
         self.queue.send(StoreCommand::Call(Box::new(q), tx)).await.ok()?;
         rx.await.ok()
     }
 
+    /// Hands over a store set.
     pub async fn learn(&self, set: StoreSet) {
         let _ = self.queue.send(StoreCommand::Learn(set)).await;
     }
@@ -92,6 +101,7 @@
 
 pub type StatusWatch = watch::Receiver<Option<StoreStatus>>;
 
+/// Reads what is on the disk and starts the owner. Gives back the store's status as it changes.
 pub fn start(settings: &NodeSettings) -> NodeResult<(StoreHandle, StatusWatch)> {
     let Some(dir) = settings.data_dir.clone() else {
         return Err(NodeError::BadSettings {
--- a/crates/turn-store/src/lib.rs
+++ b/crates/turn-store/src/lib.rs
@@ -1,4 +1,6 @@
 //! A store: keeps turns and the allowance's ledger on disk, in a majority of the group that keeps a program.
+#![deny(missing_docs)]
+
 pub mod actor;
 pub mod history;
 pub mod prelude;
--- a/crates/turn-store/src/tables/mod.rs
+++ b/crates/turn-store/src/tables/mod.rs
@@ -4,13 +4,25 @@
 /// What goes to the log.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Logged {
+    /// A turn that counts.
     #[serde(rename = "t")]
     Turn(TurnRecord),
+    /// What is known of an attempt.
     #[serde(rename = "l")]
-    Attempt { program: String, record: AttemptRecord },
+    Attempt {
+        /// Whose it is.
+        program: String,
+        /// Its newest state.
+        record: AttemptRecord,
+    },
     /// A turn that a program goes on from, kept with it though it is another program's.
     #[serde(rename = "f")]
-    Foreign { program: String, record: TurnRecord },
+    Foreign {
+        /// The program that goes on from it.
+        program: String,
+        /// The turn, with the program that it was made for.
+        record: TurnRecord,
+    },
 }
 
 struct TurnRow {
@@ -28,6 +40,7 @@
 /// Invariants: `lives` is what this process has heard; a turn is here from the moment
 /// its record was given until `until`, which is never before its retention has passed.
 pub struct StoreTables {
+    /// What this store may speak for.
     pub history: History,
     turns: HashMap<String, TurnRow>,
     programs: BTreeMap<String, Program>,
@@ -68,10 +81,12 @@
         (self.turns.len(), self.programs.len())
     }
 
+    /// Whether a turn is here.
     pub fn has_turn(&self, id: &str) -> bool {
         self.turns.contains_key(id)
     }
 
+    /// How long a turn is kept from when it is given.
     pub fn keep_for(record: &TurnRecord) -> Duration {
         Duration::from_millis(record.keep_ms) + SLACK
     }
