--- a/crates/request-proxy/src/app/mod.rs
+++ b/crates/request-proxy/src/app/mod.rs
@@ -132,7 +132,7 @@
         !locked(&self.sched).engines.has_left(EngineKey::of(engine))
     }
 
-    /// Tells operators which engines were ejected and which are back.
+    /// Logs which engines were ejected and which are back.
     pub fn tell_notes(&self) {
         let mut sched = locked(&self.sched);
         for n in sched.evidence.take_notes() {
--- a/crates/request-proxy/src/app/trial.rs
+++ b/crates/request-proxy/src/app/trial.rs
@@ -140,7 +140,7 @@
         (mark, Some(placement))
     }
 
-    /// A turn has come to its end; `holes` tells that it was given as whole and lacked events.
+    /// A turn has come to its end; `holes` says that it was given as whole and lacked events.
     pub fn count(&self, s: &TrialPlacement, came: Outcome, holes: bool) {
         let Some(live) = locked(&self.live).clone() else {
             return;
@@ -171,7 +171,7 @@
         }
     }
 
-    fn tell(&self, inversions: u64) {
+    fn publish(&self, inversions: u64) {
         let mut report = locked(&self.report);
         if let Some(r) = &mut *report {
             r.seq += 1;
@@ -182,10 +182,10 @@
 }
 
 impl App {
-    /// Tells the agent all that was counted, while a trial runs.
+    /// Reports to the agent all that was counted, while a trial runs.
     pub fn tell_outcomes(&self) {
         let inversions = locked(&self.sched).inversions;
-        self.trial.tell(inversions);
+        self.trial.publish(inversions);
     }
 
     pub(super) fn learn_trial(&self, record: &TrialRecord) {
@@ -214,7 +214,7 @@
     }
 }
 
-/// Tells the agent once a second while a trial runs, and sleeps otherwise.
+/// Reports to the agent once a second while a trial runs, and sleeps otherwise.
 pub fn report_outcomes(app: &Arc<App>) {
     let app = app.clone();
     tokio::spawn(async move {
--- a/crates/request-proxy/src/flow/mod.rs
+++ b/crates/request-proxy/src/flow/mod.rs
@@ -1,4 +1,4 @@
-//! The way of a request: door, way, opening of its turn, placement, send, relay, closing of its turn.
+//! The stages of a request: door, route, opening of its turn, placement, attempt, relay, closing of its turn.
 //! The stage between opening and sending is the dispatcher's bounded ready queue.
 #![deny(missing_docs)]
 mod place;
@@ -26,7 +26,7 @@
     pub began: Instant,
     /// When its time is over.
     pub until: Instant,
-    /// The turn's place in a routing trial, once its line is known.
+    /// The turn's place in a routing trial, once its session is known.
     pub placement: std::sync::OnceLock<TrialPlacement>,
 }
 
@@ -42,7 +42,7 @@
         aim.saturating_duration_since(Instant::now())
     }
 
-    /// 0 to 9: by the way's priority, more urgent when the program runs short of time.
+    /// 0 to 9: by the route's priority, more urgent when the program runs short of time.
     pub fn urgency(&self) -> u8 {
         let short = self
             .head
@@ -57,8 +57,8 @@
     }
 }
 
-/// Kept of the client's time for the way back.
-const WAY_BACK: Duration = Duration::from_millis(15);
+/// Kept of the client's time for the answer's return.
+const RETURN_TIME: Duration = Duration::from_millis(15);
 
 /// A request that comes while the proxy starts waits for the snapshot, which is a matter of moments.
 const START_WAIT: Duration = Duration::from_millis(1500);
@@ -83,7 +83,7 @@
         return OwnAnswer::NoRoute.into_response(id);
     };
     let time =
-        head.deadline.map_or(route.timeout, |b| b.saturating_sub(WAY_BACK).min(route.timeout));
+        head.deadline.map_or(route.timeout, |b| b.saturating_sub(RETURN_TIME).min(route.timeout));
     let until = began + time;
     let body = match read_body(body, live.body_bytes, until).await {
         Ok(b) => b,
--- a/crates/request-proxy/src/flow/plain.rs
+++ b/crates/request-proxy/src/flow/plain.rs
@@ -80,7 +80,7 @@
         match &came {
             Came::NotRun { reached, elsewhere } => sched.not_run(&g, *reached, *elsewhere, now),
             Came::Lost(_, kind) => sched.failed(&g, *kind, now),
-            // The grant's end tells whether being late was the engine's silence.
+            // The grant's end shows whether being late was the engine's silence.
             Came::Answer(_) | Came::Late => {}
         }
         drop(sched);
--- a/crates/request-proxy/src/flow/turn.rs
+++ b/crates/request-proxy/src/flow/turn.rs
@@ -28,7 +28,7 @@
     tokens: (u32, u32),
     blocks: Vec<Block>,
     program: &'a str,
-    /// Its place in a routing trial, asked for once, when its line is known.
+    /// Its place in a routing trial, asked for once, when its session is known.
     placement: std::sync::OnceLock<(Option<Mark>, Option<TrialPlacement>)>,
 }
 
@@ -59,7 +59,7 @@
     let mut opened = Opened::default();
     let mut early = None;
     if head.program.is_some() || head.previous.is_some() {
-        // Where the line is known here and an engine has room, the launch follows the claim at once.
+        // Where the session is known here and an engine has room, the attempt follows the claim at once.
         let known = app.bank.chain_here(head.previous);
         if let Some(chain) = &known {
             early = place_now(job, &ask_of(job, &turn, chain.last(), &[]));
@@ -113,7 +113,7 @@
         OpenFault::Spent => OwnAnswer::Spent,
         OpenFault::NoTurn => OwnAnswer::NoTurn,
         OpenFault::Capacity => {
-            OwnAnswer::refused(300, "too many attempts of this line hold a slot")
+            OwnAnswer::refused(300, "too many attempts of this session hold a slot")
         }
         OpenFault::Unsure => OwnAnswer::refused(200, "too few stores answer"),
     })
@@ -186,7 +186,7 @@
             return Err(OwnAnswer::refused(100, "no engine can take it in time"));
         };
         if let Some(c) = &mut attempt.claim {
-            // The claim carried the marker of the engine that was chosen before it.
+            // The claim carried the launch intent of the engine that was chosen before it.
             let carried = sends + unreached == 0
                 && c.call.as_ref().is_some_and(|c| c.at.1 == 1 && *c.engine == *g.id);
             if !carried && !app.bank.mark(c, &g.id).await {
--- a/crates/request-proxy/src/sending/send.rs
+++ b/crates/request-proxy/src/sending/send.rs
@@ -104,7 +104,7 @@
     NOT_REACHED
 }
 
-/// What any answer tells of its connection and its engine's load.
+/// What any answer says of its connection and its engine's load.
 fn note_answer(app: &App, g: &Grant, lease: &Lease, h: &HeaderMap) {
     let now = app.now();
     let mut sched = locked(&app.sched);
--- a/crates/request-proxy/src/sending/wire.rs
+++ b/crates/request-proxy/src/sending/wire.rs
@@ -1,7 +1,7 @@
 //! A connection to an engine, watched byte by byte: whether anything of a request has gone out, and
 //! whether anything came out of turn.
 //!
-//! hyper tells neither: it hands a request back only if it never began to encode it, takes an answer that
+//! hyper knows neither: it hands a request back only if it never began to encode it, takes an answer that
 //! comes before its request is written for that request's, and looks at an idle socket only when the
 //! reactor has reported it.
 use crate::app::locked;
@@ -108,7 +108,7 @@
     matches!(got, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// A connection's stream, which tells its watch of every byte.
+/// A connection's stream, which reports every byte to its watch.
 pub struct WatchedStream {
     stream: TcpStream,
     watch: WireWatch,
