--- a/crates/control-cell/src/lib.rs
+++ b/crates/control-cell/src/lib.rs
@@ -11,22 +11,50 @@
 use crate::prelude::*;
 use node_base::settings::{CELL_PORT, FEED_PORT};
 
+/// Where a cell listens; others know its addresses from its settings.
+pub struct CellListeners {
+    /// Calls of other cells.
+    pub peers: TcpListener,
+    /// Followers of the feed.
+    pub feed: TcpListener,
+    /// The operator's calls, if `control` is served.
+    pub control: Option<TcpListener>,
+}
+
+impl CellListeners {
+    /// Listens at the addresses that the settings name.
+    pub async fn bind(settings: &NodeSettings) -> NodeResult<Self> {
+        let peers = listen_at(settings.own_addr(CELL_PORT)).await?;
+        let feed = listen_at(settings.own_addr(FEED_PORT)).await?;
+        let control = match settings.listen.control {
+            Some(a) => Some(listen_at(a.to_string()).await?),
+            None => None,
+        };
+        Ok(CellListeners { peers, feed, control })
+    }
+}
+
+async fn listen_at(addr: String) -> NodeResult<TcpListener> {
+    TcpListener::bind(&addr).await.map_err(|e| NodeError::Io { what: addr, source: e })
+}
+
 /// Runs a cell until it is told to end.
 pub async fn run_cell(settings: impl Into<SharedSettings>) -> NodeResult<()> {
     let shared: SharedSettings = settings.into();
-    let settings = shared.now();
-    let bind = |addr: String| async move {
-        TcpListener::bind(&addr).await.map_err(|e| NodeError::Io { what: addr, source: e })
-    };
-    let inner = bind(settings.own_addr(CELL_PORT)).await?;
-    let feed = bind(settings.own_addr(FEED_PORT)).await?;
-    let control = match settings.listen.control {
-        Some(a) => Some(bind(a.to_string()).await?),
-        None => None,
-    };
+    let listeners = CellListeners::bind(&shared.now()).await?;
+    run_cell_on(shared, listeners).await
+}
+
+/// Runs a cell on listeners that are bound already.
+pub async fn run_cell_on(
+    settings: impl Into<SharedSettings>,
+    listeners: CellListeners,
+) -> NodeResult<()> {
+    let shared: SharedSettings = settings.into();
+    let CellListeners { peers, feed, control } = listeners;
     let cell = actor::start(&shared)?;
     let h = cell.clone();
-    tokio::spawn(node_base::links::serve_calls(inner, move |q: CellCall| {
+    tokio::spawn(node_base::links::serve_calls(peers, move |q: CellCall| {
         let h = h.clone();
         async move { h.answer(q).await }
     }));
