--- a/crates/agreement/tests/contact.rs
+++ b/crates/agreement/tests/contact.rs
@@ -189,3 +189,34 @@
     assert!(w.agreed.values().any(|(_, body)| *body == command(7)));
     assert!(!w.agreed.values().any(|(_, body)| *body == command(8)));
 }
+
+/// Entries of earlier terms are agreed on only together with one of the leader's own term: counted by
+/// themselves, a majority of them could still be replaced.
+#[test]
+fn an_entry_of_an_earlier_term_is_not_agreed_on_by_itself() {
+    let mut w = World::with(&[1, 2, 3], Tuning { most_batch: 1, ..small_tuning() });
+    w.settle();
+    let old = w.leader().unwrap();
+    let next = (1..=3).find(|id| *id != old).unwrap();
+    w.propose(command(1));
+    let index = w.node(old).log.last();
+    let append = |f: &Flight| f.to == next && matches!(f.msg, Msg::Append { .. });
+    let at = w.flight.iter().position(append).unwrap();
+    w.deliver(at, false);
+    w.flight.clear();
+    w.nodes.get_mut(&old).unwrap().down = true;
+    let mut agreed = false;
+    for _ in 0..SETTLE_STEPS {
+        w.now += STEP;
+        w.tick_all();
+        while !w.flight.is_empty() {
+            w.deliver(0, false);
+            let node = w.node(next);
+            if node.leads() && node.commit >= index {
+                assert_eq!(node.log.term_at(node.commit), Some(node.hard.term));
+                agreed = true;
+            }
+        }
+    }
+    assert!(agreed);
+}
