--- a/crates/agreement/src/core/follow.rs
+++ b/crates/agreement/src/core/follow.rs
@@ -4,6 +4,14 @@
 use super::types::Effect;
 use crate::prelude::*;
 
+/// The fields of a leader's heartbeat.
+pub(super) struct LeaderHeartbeat {
+    pub term: u64,
+    pub commit: u64,
+    pub committed: u64,
+    pub round: u64,
+}
+
 impl ConsensusNode {
     /// True when `from` leads this term; answers an outdated leader.
     pub(super) fn follows(&mut self, from: u64, term: u64, now: Duration) -> bool {
@@ -23,19 +31,16 @@
         true
     }
 
-    pub(super) fn heartbeat(
-        &mut self,
-        from: u64,
-        term: u64,
-        commit: u64,
-        round: u64,
-        now: Duration,
-    ) {
+    pub(super) fn heartbeat(&mut self, from: u64, heartbeat: LeaderHeartbeat, now: Duration) {
+        let LeaderHeartbeat { term, commit, committed, round } = heartbeat;
         if !self.follows(from, term, now) {
             return;
         }
         self.send(from, Msg::HeartbeatReply { term, round });
         self.advance(commit);
+        if self.applied >= committed {
+            self.caught_up_at = Some(now);
+        }
     }
 
     pub(super) fn append(
--- a/crates/agreement/src/core/node.rs
+++ b/crates/agreement/src/core/node.rs
@@ -1,4 +1,5 @@
 //! The state machine of one cell.
+use super::follow::LeaderHeartbeat;
 use super::incoming::IncomingSnapshot;
 use super::leader::LeaderState;
 use super::log::TermLog;
@@ -30,6 +31,8 @@
     pub(super) votes: BTreeSet<u64>,
     pub(super) deadline: Duration,
     pub(super) last_leader_contact: Option<Duration>,
+    /// When this follower last held all that its leader said was committed.
+    pub(super) caught_up_at: Option<Duration>,
     pub(super) clock: Duration,
     pub(super) seed: u64,
     pub(super) out: Vec<Effect>,
@@ -53,6 +56,7 @@
             votes: BTreeSet::new(),
             deadline: Duration::ZERO,
             last_leader_contact: None,
+            caught_up_at: None,
             clock: Duration::ZERO,
             seed,
             out: Vec::new(),
@@ -95,6 +99,17 @@
         }
     }
 
+    /// The newest moment at which this cell is known to have held all that was committed: a leader's
+    /// contact once the first entry of its term is applied, a follower's newest heartbeat whose
+    /// committed index it had reached. A follower that hears its leader and isn't heard gets no entries,
+    /// so contact alone proves nothing of its state.
+    pub fn last_current(&self) -> Option<Duration> {
+        match &self.lead {
+            Some(l) if self.applied >= l.first => self.last_contact(),
+            _ => self.caught_up_at,
+        }
+    }
+
     /// When a leader sent the newest round that this follower answered.
     pub fn last_contact_with(&self, id: u64) -> Option<Duration> {
         self.lead.as_ref()?.progress.get(&id)?.contact
@@ -135,8 +150,9 @@
             Msg::Vote { term, last, forced } => self.asked_for_vote(from, term, last, forced, now),
             Msg::VoteReply { term, granted } => self.vote_reply(from, term, granted, now),
             Msg::TakeLead { term } => self.named_successor(from, term, now),
-            Msg::Heartbeat { term, commit, round } => {
-                self.heartbeat(from, term, commit, round, now);
+            Msg::Heartbeat { term, commit, committed, round } => {
+                let heartbeat = LeaderHeartbeat { term, commit, committed, round };
+                self.heartbeat(from, heartbeat, now);
             }
             Msg::Append { term, prev, entries, commit } => {
                 if self.follows(from, term, now) {
--- a/crates/agreement/src/core/replicate.rs
+++ b/crates/agreement/src/core/replicate.rs
@@ -32,14 +32,14 @@
     /// A round of contact with every follower.
     pub(super) fn contact(&mut self, now: Duration) {
         let ids = self.followers();
-        let (beat, term, commit) = (self.tuning.beat, self.hard.term, self.commit);
+        let (beat, term, committed) = (self.tuning.beat, self.hard.term, self.commit);
         let Some(lead) = &mut self.lead else { return };
         let round = lead.begin_round(now, beat);
         lead.progress.retain(|id, _| ids.contains(id));
         for id in ids {
             let matched = self.progress(id).map_or(0, |p| p.matched);
-            let commit = commit.min(matched);
-            self.send(id, Msg::Heartbeat { term, commit, round });
+            let commit = committed.min(matched);
+            self.send(id, Msg::Heartbeat { term, commit, committed, round });
             self.send_log(id, now);
         }
     }
--- a/crates/agreement/tests/contact.rs
+++ b/crates/agreement/tests/contact.rs
@@ -220,3 +220,32 @@
     }
     assert!(agreed);
 }
+
+/// A follower that hears its leader, isn't heard by it, and lacks what only the snapshot holds: the first
+/// chunks arrive again and again, the rest never. It is in contact; its state isn't current until it is
+/// heard again.
+#[test]
+fn a_follower_that_is_not_heard_does_not_stay_current() {
+    let mut w = World::with(&[1, 2, 3], small_tuning());
+    w.settle();
+    let leader = w.leader().unwrap();
+    let unheard = (1..=3).find(|id| *id != leader).unwrap();
+    w.isolate(unheard);
+    for value in 0..200 {
+        assert!(w.propose(command(value)).is_some());
+        w.run(1);
+    }
+    w.compact(leader);
+    w.cuts.clear();
+    w.silence(unheard);
+    w.run(SETTLE_STEPS);
+    assert_eq!(w.leader(), Some(leader));
+    let node = w.node(unheard);
+    let bound = node.tuning.contact_bound();
+    let current = node.last_current().unwrap();
+    assert!(node.commit < w.node(leader).commit, "it lacks what was committed");
+    assert!(w.now < node.last_contact().unwrap() + bound, "it hears its leader");
+    assert!(w.now > current + bound * 2);
+    w.settle();
+    assert!(w.now < w.node(unheard).last_current().unwrap() + bound);
+}
--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -16,6 +16,8 @@
     began: Instant,
     /// The newest contact with a majority, also while nobody is known to lead.
     contact: Option<Duration>,
+    /// The newest moment at which this cell held all that was committed.
+    current: Option<Duration>,
 }
 
 /// What a cell finds on its disk when it starts.
@@ -98,7 +100,8 @@
         let node = ConsensusNode::new(id, hard, log, Tuning::default(), seed);
         let members = members_of(&node);
         let began = Instant::now();
-        let driver = ConsensusDriver { me, node, members, disk, began, contact: None };
+        let driver =
+            ConsensusDriver { me, node, members, disk, began, contact: None, current: None };
         Ok(OpenedCell { driver, state, lives })
     }
 
@@ -106,6 +109,7 @@
     pub fn handle(&mut self, ev: Event) -> NodeResult<Vec<Effect>> {
         let effects = self.node.handle(ev, self.began.elapsed());
         self.contact = self.contact.max(self.node.last_contact());
+        self.current = self.current.max(self.node.last_current());
         self.save(&effects)?;
         if self.node.log.membership().all().into_iter().ne(&self.members) {
             self.members = members_of(&self.node);
@@ -162,10 +166,14 @@
     }
 
     /// Whether the last contact with a majority is recent enough to vouch for this cell's state: the
-    /// longest wait before an election. Past it a leader steps down and others elect one.
+    /// longest wait before an election. Past it a leader steps down and others elect one. A follower that
+    /// is in contact and receives no entries may lag for twice that.
     pub fn vouches(&self) -> bool {
         let bound = self.node.tuning.election_high;
-        self.contact.is_some_and(|t| self.began.elapsed() < t + bound)
+        let now = self.began.elapsed();
+        let in_contact = self.contact.is_some_and(|t| now < t + bound);
+        let current = self.current.is_some_and(|t| now < t + bound * 2);
+        in_contact && current
     }
 
     pub fn leads(&self) -> bool {
--- a/crates/control-cell/src/actor/status.rs
+++ b/crates/control-cell/src/actor/status.rs
@@ -23,6 +23,7 @@
             applied: node.applied,
             config_version: self.desk.state().config_version(),
             members: members.iter().filter_map(|m| name(&m.id)).collect(),
+            voters: node.log.membership().voters.iter().filter_map(|m| name(&m.id)).collect(),
             stores: self
                 .desk
                 .state()
--- a/crates/doctor/src/findings/mod.rs
+++ b/crates/doctor/src/findings/mod.rs
@@ -181,6 +181,7 @@
                 applied: 9,
                 config_version: 4,
                 members: vec!["c1".into(), "c2".into(), "c3".into()],
+                voters: vec!["c1".into(), "c2".into(), "c3".into()],
                 zones: vec![("a".into(), Some("c1".into()), 2)],
                 ..CellTold::default()
             }),
--- a/crates/inner-protocol/src/cells.rs
+++ b/crates/inner-protocol/src/cells.rs
@@ -189,6 +189,8 @@
         term: u64,
         /// Committed as far as the follower is known to hold it.
         commit: u64,
+        /// Committed in all: a follower that hasn't reached it doesn't vouch for its state.
+        committed: u64,
         /// The round.
         round: u64,
     },
@@ -403,6 +405,9 @@
     pub applied: u64,
     pub config_version: u64,
     pub members: Vec<String>,
+    /// Names of those members whose majority decides.
+    #[serde(default)]
+    pub voters: Vec<String>,
     /// Name, state and address.
     pub stores: Vec<(String, String, String)>,
     /// Addresses of the members.
--- a/crates/spokebank/tests/settings_reload.rs
+++ b/crates/spokebank/tests/settings_reload.rs
@@ -278,10 +278,8 @@
         cells.push(net.start("control-cell", settings));
     }
     for host in [4, 5] {
-        until("three members", async || {
-            told(&net, host).await.is_some_and(|t| t.members.len() == 3)
-        })
-        .await;
+        until("three voters", async || told(&net, host).await.is_some_and(|t| t.voters.len() == 3))
+            .await;
     }
     core.kill();
     let body = config(4, true);
