--- a/crates/agreement/src/store/replay.rs
+++ b/crates/agreement/src/store/replay.rs
@@ -62,7 +62,8 @@
             }
             Some(Record::Begin { hard, entries }) => {
                 self.hard = hard;
-                if self.has_snapshot && segment == self.begins_at {
+                // A start may have moved it to a later segment; it is the first one all the same.
+                if self.has_snapshot && !self.begun {
                     self.log.entries = entries;
                     self.begun = true;
                 }
--- a/crates/node-base/src/disk/chain.rs
+++ b/crates/node-base/src/disk/chain.rs
@@ -15,6 +15,9 @@
     pub has_beginning: bool,
     /// Sound bytes of the last segment.
     pub last_end: u64,
+    /// Where what may be seen and yet not be on disk goes on from: the sync of the process before
+    /// may have failed.
+    pub surely_synced: SegmentHeader,
     /// Files of removals and beginnings that a crash cut short.
     pub leftovers: Vec<u64>,
     /// The greatest number in the folder.
@@ -54,6 +57,10 @@
             _ => {}
         }
         chain.last_end = end as u64;
+        chain.surely_synced = match last_stamp(&data) {
+            0 => headers[number],
+            stamp => SegmentHeader { previous: *number, previous_end: stamp },
+        };
     }
     Ok(chain)
 }
@@ -127,6 +134,17 @@
     at
 }
 
+/// What the last sound record says was synced before it.
+fn last_stamp(data: &[u8]) -> u64 {
+    let mut at = HEADER_LEN.min(data.len());
+    let mut stamp = 0;
+    while let Parsed::Record { synced, len, .. } = parse_record(data, at) {
+        stamp = synced;
+        at += len;
+    }
+    stamp
+}
+
 fn damaged(file: &Path, offset: usize, reason: &str) -> NodeError {
     NodeError::Damaged {
         file: file.display().to_string(),
--- a/crates/node-base/src/disk/format.rs
+++ b/crates/node-base/src/disk/format.rs
@@ -15,7 +15,7 @@
 ///
 /// Invariant: everything up to `previous_end` of the segment `previous` was synced before this
 /// header was written; what stands there beyond it was never acknowledged and doesn't count.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SegmentHeader {
     /// 0 where there is none.
     pub previous: u64,
--- a/crates/node-base/src/disk/segments.rs
+++ b/crates/node-base/src/disk/segments.rs
@@ -1,5 +1,5 @@
 //! A log in segments: records are appended, synced, and only then acknowledged.
-use super::chain::{read_chain, segment_path};
+use super::chain::{read_chain, segment_path, SegmentChain};
 use super::format::{push_record, restamp_records, SegmentHeader, HEADER_LEN};
 use super::retry::{io_error, Patience};
 use crate::prelude::*;
@@ -47,18 +47,17 @@
         let Some(number) = chain.segments.last().copied() else {
             return SegmentLog::begin_first(disk, dir, chain.greatest);
         };
-        let path = segment_path(dir, number);
-        let file = cut_file(&*disk, &path, chain.last_end).map_err(|e| io_error(&path, e))?;
-        disk.sync_folder(dir).map_err(|e| io_error(dir, e))?;
+        let moved = move_tail(&*disk, dir, number, &chain)?;
+        let first = chain.segments[0];
         Ok(SegmentLog {
             disk,
             dir: dir.to_path_buf(),
-            file,
-            number,
-            first: chain.segments[0],
+            file: moved.file,
+            number: chain.greatest + 1,
+            first: if moved.replaces_first { chain.greatest + 1 } else { first },
             has_beginning: chain.has_beginning,
-            greatest: chain.greatest,
-            synced: chain.last_end,
+            greatest: chain.greatest + 1,
+            synced: moved.len,
             unsynced: Vec::new(),
         })
     }
@@ -189,12 +188,53 @@
     }
 }
 
-/// Opens a file and cuts off what isn't sound, durably.
-fn cut_file(disk: &dyn DiskOps, path: &Path, end: u64) -> std::io::Result<Box<dyn DiskFile>> {
-    let mut file = disk.open(path)?;
-    file.set_len(end)?;
-    file.sync()?;
-    Ok(file)
+/// The segment that a start begins.
+struct MovedTail {
+    file: Box<dyn DiskFile>,
+    len: u64,
+    /// The only segment before it held no record.
+    replaces_first: bool,
+}
+
+/// Puts what may not be on disk into a new segment, which has its name only once it is synced whole.
+/// It isn't synced where it stands: the sync of the process before may have failed, and then a sync
+/// alone brings nothing to the disk; nor written again there, as a tear would harm what is.
+fn move_tail(
+    disk: &dyn DiskOps,
+    dir: &Path,
+    number: u64,
+    chain: &SegmentChain,
+) -> NodeResult<MovedTail> {
+    let old = segment_path(dir, number);
+    let place = segment_path(dir, chain.greatest + 1);
+    let fresh = place.with_extension("new");
+    let header = chain.surely_synced;
+    let data = disk.read_start(&old, chain.last_end).map_err(|e| io_error(&old, e))?;
+    let mut bytes = header.encode().to_vec();
+    if header.previous == number {
+        let tail = &data[header.previous_end as usize..];
+        bytes.extend(restamp_records(tail, HEADER_LEN as u64));
+    }
+    let mut patience = Patience::default();
+    let file = loop {
+        let made = disk.open(&fresh).and_then(|mut file| {
+            file.set_len(0)?;
+            file.write_at(0, &bytes)?;
+            file.sync()?;
+            Ok(file)
+        });
+        match made {
+            Ok(file) => break file,
+            Err(e) => {
+                let _ = disk.remove(&fresh);
+                patience.spend(disk, io_error(&fresh, e))?;
+            }
+        }
+    };
+    disk.rename(&fresh, &place).map_err(|e| io_error(&place, e))?;
+    disk.sync_folder(dir).map_err(|e| io_error(dir, e))?;
+    let replaces_first = header.previous != number && chain.segments.len() == 1;
+    Ok(MovedTail { file, len: bytes.len() as u64, replaces_first })
 }
 
 /// Makes a segment's file with its header; both the bytes and the name last. What a failure leaves
--- a/crates/node-base/tests/disk.rs
+++ b/crates/node-base/tests/disk.rs
@@ -144,6 +144,13 @@
         expected = expected.restarted(&read);
         let failed = ops.iter().find_map(|op| expected.play(&mut log, op).err());
         assert!(failed.is_none() || disk.is_dark(), "{failed:?}");
+        // Killed first: what the next process reads and acts on must outlast a loss of power.
+        if seed.is_multiple_of(2) {
+            disk.restart_process();
+            let (_, read) = open(&disk).unwrap();
+            expected.check(&read);
+            expected = expected.restarted(&read);
+        }
         let (_, read) = recover(&disk, cuts);
         expected.check(&read);
         expected = expected.restarted(&read);
@@ -322,12 +329,14 @@
     assert_eq!(read().unwrap().len(), 10);
     log.drop_below(2).unwrap();
     assert_eq!(read().unwrap().len(), 6);
+    log = SegmentLog::open(&dir, |_, _| {}).unwrap();
     let last = dir.join(format!("segment-{:010}.log", log.segment_no()));
     let sound = std::fs::read(&last).unwrap();
     std::fs::write(&last, &sound[..sound.len() - 1]).unwrap();
     assert_eq!(verify_segments(&dir), Vec::<String>::new());
     assert_eq!(read().unwrap().len(), 5);
     log = SegmentLog::open(&dir, |_, _| {}).unwrap();
+    let last = dir.join(format!("segment-{:010}.log", log.segment_no()));
     log.append(b"more");
     log.sync().unwrap();
     assert_eq!(read().unwrap().last().unwrap(), b"more");
--- a/crates/simulated-disk/src/lib.rs
+++ b/crates/simulated-disk/src/lib.rs
@@ -167,6 +167,14 @@
         state.trouble = Trouble::default();
     }
 
+    /// The process was killed and starts again; power stayed on, so that all it wrote is still seen,
+    /// synced or not. No trouble is left.
+    pub fn restart_process(&self) {
+        let mut state = self.lock();
+        state.dark = false;
+        state.trouble = Trouble::default();
+    }
+
     /// The bytes of a file, as a program would read them now.
     pub fn contents(&self, file: &Path) -> Option<Vec<u8>> {
         let state = self.lock();
