--- a/crates/inner-protocol/src/cells.rs
+++ b/crates/inner-protocol/src/cells.rs
@@ -1,4 +1,5 @@
 //! Between cells: agreement messages, joining, forwarding to the leader, zone tables.
+#![deny(missing_docs)]
 use crate::feed::ZoneTable;
 use crate::prelude::*;
 use crate::stores::StoreStatus;
@@ -269,23 +270,41 @@
     /// An operator's configuration built on `base`. `sha256` is of its normalised text; it is empty in
     /// entries older than it.
     PutConfig {
+        /// The version it builds on.
         base: u64,
+        /// Its own.
         version: u64,
+        /// Of its normalised text.
         #[serde(default)]
         sha256: BodyDigest,
+        /// As the operator sent it.
         body: ByteBuf,
     },
     /// The next store set; applied only on top of the set with version `base`.
-    PutStores { base: u64, set: crate::stores::StoreSet },
+    PutStores {
+        /// The version it follows.
+        base: u64,
+        /// The next set.
+        set: crate::stores::StoreSet,
+    },
     /// Who holds each zone.
-    PutHolders { holders: BTreeMap<String, u64> },
+    PutHolders {
+        /// The member, by zone.
+        holders: BTreeMap<String, u64>,
+    },
     /// A start or an end of a routing trial; applied only on top of what was agreed at index `base`.
-    PutTrial { base: u64, trial: Box<TrialRecord> },
+    PutTrial {
+        /// The log index of the record it follows.
+        base: u64,
+        /// The record.
+        trial: Box<TrialRecord>,
+    },
 }
 
 /// What applying a change came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
+    /// It is in force.
     Taken,
     /// This very configuration was taken before.
     TakenBefore,
@@ -297,12 +316,16 @@
     Forgotten,
 }
 
+/// What a cell is asked, by other cells and by its own tasks.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum CellCall {
     /// One way: an agreement message and who sent it, with the address to answer to.
     Agree {
+        /// The sender.
         from: u64,
+        /// Where it is answered.
         addr: String,
+        /// The message.
         msg: Msg,
     },
     /// A cell that will join asks for the newest agreed index, confirmed by a majority.
@@ -317,22 +340,31 @@
     },
     /// A cell ends in order: its zones go to others.
     Leave {
+        /// The cell.
         id: u64,
     },
+    /// A change to agree on; answered with its outcome.
     Propose {
+        /// The change.
         change: Change,
     },
     /// Confirms with a majority; answered with the index a reader must have applied.
     Confirm,
+    /// A store's report about itself.
     Announce {
+        /// The report.
         status: StoreStatus,
     },
     /// One way: a holder's table of its zone.
     Table {
+        /// The table.
         table: ZoneTable,
     },
+    /// A store is to be emptied, or how far that is.
     Retire {
+        /// Its name.
         store: String,
+        /// Nothing is ordered.
         ask_only: bool,
     },
     /// What `doctor` asks.
@@ -340,14 +372,19 @@
     /// One way: what nodes counted of a routing trial, passed on by the cell that they follow: to the
     /// leader, or by the leader to another cell.
     Outcomes {
+        /// By node.
         reports: Vec<NodeReport>,
     },
+    /// About the routing trial.
     Trial {
+        /// The order or question.
         ask: TrialAsk,
     },
     /// A call whose caller waits for so many milliseconds more; it isn't carried out after that.
     Within {
+        /// From its sending.
         ms: u64,
+        /// The call itself.
         call: Box<CellCall>,
     },
 }
@@ -355,10 +392,14 @@
 /// What an operator asks of the routing trial. A start and a stop are answered with an outcome.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum TrialAsk {
+    /// Begins a trial.
     Start {
+        /// What is tried.
         spec: Box<TrialSpec>,
     },
+    /// Ends it.
     Stop {
+        /// Rather than step by step.
         at_once: bool,
     },
     /// Answered by the leader, which has all reports.
@@ -368,45 +409,69 @@
 /// The trial that runs, or the last one. While it runs, `verdict` and `evidence` are of this moment.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TrialTold {
+    /// As agreed on.
     pub record: TrialRecord,
+    /// What it came to.
     pub verdict: Verdict,
+    /// What that rests on.
     pub evidence: Evidence,
 }
 
+/// What a cell answers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum CellReply {
+    /// Taken note of.
     Done,
+    /// What a change came to.
     Outcome(Outcome),
+    /// A confirmed log index.
     Index(u64),
+    /// How far a retirement is.
     Retire(RetireState),
     /// This cell can't do it now (no leader, cut off, or being left).
     Unable,
+    /// The answer to `Tell`.
     Told(CellTold),
-    /// None when there never was one.
+    /// The routing trial; none when there never was one.
     Trial(Option<Box<TrialTold>>),
 }
 
+/// How far a store's retirement is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetireState {
+    /// No such store, or no such order.
     Unknown,
+    /// The others would be too few.
     TooFew,
+    /// Under way.
     Running,
+    /// The store may go.
     Completed,
 }
 
+/// What a cell reports of itself to `doctor`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct CellTold {
+    /// Its machine's name.
     pub name: String,
+    /// Its term.
     pub term: u64,
+    /// Whom it follows, by name.
     pub leader: Option<String>,
+    /// Agreed on, as far as it knows.
     pub commit: u64,
+    /// Applied here.
     pub applied: u64,
+    /// The configuration in force.
     pub config_version: u64,
+    /// Voters and learners, by name.
     pub members: Vec<String>,
     /// Name, state and address.
     pub stores: Vec<(String, String, String)>,
     /// Addresses of the members.
     pub cells: Vec<String>,
+    /// Its time of day.
     pub unix_ms: u64,
+    /// Zone, holder by name, and engines known in it.
     pub zones: Vec<(String, Option<String>, usize)>,
 }
