--- a/crates/spokebank/tests/settings_reload.rs
+++ b/crates/spokebank/tests/settings_reload.rs
@@ -177,7 +177,7 @@
     let net = Net::new("refused");
     for (program, class, host, at) in PROGRAMS {
         let at = at(&net);
-        let mut node = net.start(program, net.settings("n-1", class, host, "a"));
+        let mut node = net.start(program, net.settings(program, class, host, "a"));
         until("a start", async || listens(&at).await).await;
         let good = node.settings.text();
         let (half, most) = (good.find("firstStart").unwrap() - 4, good.find("[bounds]").unwrap());
@@ -215,7 +215,7 @@
 async fn a_hangup_during_a_slow_start_ends_nothing() {
     let net = Net::new("slow-start");
     for (program, class, host, at) in PROGRAMS {
-        let settings = net.settings("n-1", class, host, "a");
+        let settings = net.settings(program, class, host, "a");
         let text = settings.text();
         let (mut node, mut pipe) = net.start_waiting(program, settings);
         node.hang_up();
