--- a/crates/agreement/src/prelude.rs
+++ b/crates/agreement/src/prelude.rs
@@ -2,7 +2,7 @@
 pub use crate::core::{
     ConsensusNode, Effect, Event, FollowerStatus, HardState, RoleState, TermLog, Tuning,
 };
-pub use crate::store::AgreementDisk;
+pub use crate::store::{AgreementDisk, SnapshotWrite};
 pub use inner_protocol::cells::{
     Body, Entry, LogPosition, Member, Membership, Msg, Snapshot, SnapshotChunk,
 };
--- a/crates/control-cell/src/actor/carry.rs
+++ b/crates/control-cell/src/actor/carry.rs
@@ -28,6 +28,7 @@
 
     fn carry(&mut self, ev: Event) -> NodeResult<()> {
         let effects = self.driver.handle(ev)?;
+        self.write_due_snapshot();
         if let Some(l) = self.driver.node.leader.filter(|_| !self.driver.leads()) {
             self.members.follows(l);
         }
@@ -56,6 +57,27 @@
         Ok(())
     }
 
+    /// Writes a snapshot that was begun beside the actor, which goes on answering heartbeats.
+    fn write_due_snapshot(&mut self) {
+        let Some(mut write) = self.driver.take_due_write() else { return };
+        let queue = self.queue.clone();
+        tokio::task::spawn_blocking(move || {
+            let written = write.run().map(|()| write);
+            let _ = queue.blocking_send(CellCommand::SnapshotWritten(written));
+        });
+    }
+
+    /// False when the snapshot couldn't be written.
+    pub(super) fn snapshot_written(&mut self, written: NodeResult<SnapshotWrite>) -> bool {
+        match written.and_then(|w| self.driver.snapshot_written(w)) {
+            Ok(()) => true,
+            Err(e) => {
+                spdlog::error!("{}", e);
+                false
+            }
+        }
+    }
+
     fn role_changed(&mut self) {
         let leads = self.driver.leads();
         self.members.role_is(leads, self.driver.me.id);
--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -14,6 +14,10 @@
     members: Vec<Member>,
     disk: AgreementDisk,
     began: Instant,
+    /// A snapshot of the own log that is to be written, by whoever takes it.
+    due_write: Option<SnapshotWrite>,
+    /// A snapshot is being written; the next one waits for it.
+    writing: bool,
     /// The newest contact with a majority, also while nobody is known to lead.
     contact: Option<Duration>,
     /// The newest moment at which this cell held all that was committed.
@@ -100,8 +104,17 @@
         let node = ConsensusNode::new(id, hard, log, Tuning::default(), seed);
         let members = members_of(&node);
         let began = Instant::now();
-        let driver =
-            ConsensusDriver { me, node, members, disk, began, contact: None, current: None };
+        let driver = ConsensusDriver {
+            me,
+            node,
+            members,
+            disk,
+            due_write: None,
+            writing: false,
+            began,
+            contact: None,
+            current: None,
+        };
         Ok(OpenedCell { driver, state, lives })
     }
 
@@ -119,6 +132,8 @@
 
     fn save(&mut self, effects: &[Effect]) -> NodeResult<()> {
         let mut dirty = false;
+        // What follows an installed snapshot doesn't join the log before it: that one is written at once.
+        let installed = effects.iter().any(|e| matches!(e, Effect::Restore(_)));
         for e in effects {
             match e {
                 Effect::SaveHardState(h) => {
@@ -129,6 +144,12 @@
                     self.disk.save_entries(*from, entries);
                     dirty = true;
                 }
+                Effect::SaveSnapshot(_) if !installed => {
+                    let write = self.disk.begin_snapshot(self.node.hard, &self.node.log)?;
+                    self.due_write = Some(write);
+                    self.writing = true;
+                    dirty = false;
+                }
                 Effect::SaveSnapshot(_) => {
                     self.disk.save_snapshot(self.node.hard, &self.node.log)?;
                     dirty = false;
@@ -142,7 +163,21 @@
         }
     }
 
+    /// The snapshot to write, if one was begun.
+    pub fn take_due_write(&mut self) -> Option<SnapshotWrite> {
+        self.due_write.take()
+    }
+
+    /// A snapshot was written: what it replaces is removed.
+    pub fn snapshot_written(&mut self, write: SnapshotWrite) -> NodeResult<()> {
+        self.writing = false;
+        self.disk.finish_snapshot(write)
+    }
+
     pub fn wants_snapshot(&self, applied: u64) -> bool {
+        if self.writing {
+            return false;
+        }
         applied - self.node.log.snap.index >= SNAPSHOT_EVERY || self.disk.wants_snapshot()
     }
 
--- a/crates/control-cell/src/actor/handle.rs
+++ b/crates/control-cell/src/actor/handle.rs
@@ -57,6 +57,8 @@
         /// The index to have applied.
         index: Option<u64>,
     },
+    /// A snapshot of the log was written, or couldn't be.
+    SnapshotWritten(NodeResult<SnapshotWrite>),
     /// The cell ends in order.
     Leave(oneshot::Sender<()>),
 }
--- a/crates/control-cell/src/actor/run.rs
+++ b/crates/control-cell/src/actor/run.rs
@@ -213,6 +213,7 @@
                 let events = self.desk.confirmed(token, index);
                 events.into_iter().for_each(|e| self.settle(e));
             }
+            CellCommand::SnapshotWritten(write) => return self.snapshot_written(write),
             CellCommand::Leave(reply) => return self.leave(reply),
         }
         true
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -9,7 +9,9 @@
     leads_with_current_state, ChangedPart, DeskEvent, OrderDesk, UnreadableState,
 };
 pub use crate::state::{order_digest, CellState, ConfirmedOrders};
-pub use agreement::prelude::{AgreementDisk, ConsensusNode, Effect, Event, HardState, Tuning};
+pub use agreement::prelude::{
+    AgreementDisk, ConsensusNode, Effect, Event, HardState, SnapshotWrite, Tuning,
+};
 pub use inner_protocol::cells::{
     Body, BodyDigest, CellCall, CellReply, CellTold, Change, Entry, LogPosition, Member,
     Membership, Msg, Outcome, RetireState, Snapshot, TrialAsk, TrialTold,
--- a/crates/control-cell/tests/trial_leader.rs
+++ b/crates/control-cell/tests/trial_leader.rs
@@ -21,6 +21,13 @@
     r
 }
 
+async fn applied(c: &CellHandle) -> u64 {
+    match c.answer(CellCall::Tell).await {
+        Some(CellReply::Told(t)) => t.applied,
+        _ => 0,
+    }
+}
+
 #[test]
 fn what_nodes_counted_outlives_a_change_of_leader() {
     let place = Place::new(10);
@@ -41,6 +48,15 @@
     until("the names", async || leader(&cells[0]).await.is_some_and(|n| n.starts_with("core-")))
         .await;
 
+    // A cell keeps outcomes of a trial only once it knows of its start.
+    let mut started = 0;
+    for c in &cells {
+        started = started.max(applied(c).await);
+    }
+    for c in &cells {
+        until("the start at each cell", async || applied(c).await >= started).await;
+    }
+
     // Each cell has a node. All nodes are gone after this: only the cells can tell what they counted.
     let turns = async |c: &CellHandle| told(c).await.map_or([0, 0], |t| t.evidence.turns);
     for (i, c) in cells.iter().enumerate() {
