--- a/crates/control-cell/src/actor/calls.rs
+++ b/crates/control-cell/src/actor/calls.rs
@@ -45,7 +45,7 @@
                 self.members.leaves(id);
                 waiting.answer(CellReply::Done);
             }
-            CellCall::Tell => waiting.answer(CellReply::Told(self.status())),
+            CellCall::Tell => waiting.answer(CellReply::Status(self.status())),
             CellCall::Outcomes { reports } => {
                 self.trial.keep(self.desk.state(), reports);
                 waiting.answer(CellReply::Done);
--- a/crates/control-cell/src/actor/status.rs
+++ b/crates/control-cell/src/actor/status.rs
@@ -4,14 +4,14 @@
 
 impl Actor {
     /// This cell's own view; it needs no majority.
-    pub fn status(&self) -> CellTold {
+    pub fn status(&self) -> CellStatus {
         let node = &self.driver.node;
         let members = self.driver.members();
         let name = |id: &u64| {
             let m = members.iter().find(|m| m.id == *id);
             m.map(|m| if m.name.is_empty() { m.addr.clone() } else { m.name.clone() })
         };
-        CellTold {
+        CellStatus {
             name: self.driver.me.name.clone(),
             term: node.hard.term,
             leader: node.leader.as_ref().and_then(name),
--- a/crates/control-cell/src/actor/trial.rs
+++ b/crates/control-cell/src/actor/trial.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    fn tell(&self, state: &CellState) -> Option<Box<TrialTold>> {
+    fn tell(&self, state: &CellState) -> Option<Box<TrialReport>> {
         let record = (**state.trial.as_ref()?).clone();
         let (verdict, evidence) = match &record.status {
             TrialStatus::Ended { verdict, evidence, .. } => (verdict.clone(), (**evidence).clone()),
@@ -133,7 +133,7 @@
                 (Verdict::Running, e)
             }
         };
-        Some(Box::new(TrialTold { record, verdict, evidence }))
+        Some(Box::new(TrialReport { record, verdict, evidence }))
     }
 }
 
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -13,8 +13,8 @@
     AgreementDisk, ConsensusNode, Effect, Event, HardState, SnapshotWrite, Tuning,
 };
 pub use inner_protocol::cells::{
-    Body, BodyDigest, CellCall, CellReply, CellTold, Change, Entry, LogPosition, Member,
-    Membership, Msg, Outcome, RetireState, Snapshot, TrialAsk, TrialTold,
+    Body, BodyDigest, CellCall, CellReply, CellStatus, Change, Entry, LogPosition, Member,
+    Membership, Msg, Outcome, RetireState, Snapshot, TrialAsk, TrialReport,
 };
 pub use inner_protocol::feed::{
     EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics, ZoneTable,
--- a/crates/control-cell/tests/common/mod.rs
+++ b/crates/control-cell/tests/common/mod.rs
@@ -111,7 +111,7 @@
 
 pub async fn leader(c: &CellHandle) -> Option<String> {
     match c.answer(CellCall::Tell).await {
-        Some(CellReply::Told(t)) => t.leader,
+        Some(CellReply::Status(t)) => t.leader,
         _ => None,
     }
 }
--- a/crates/control-cell/tests/feed.rs
+++ b/crates/control-cell/tests/feed.rs
@@ -10,7 +10,7 @@
     FeedItem::ConfigPatch { index: n, version: n, base: n - 1, patch: p }
 }
 
-fn told(rx: &mut mpsc::Receiver<Bytes>) -> Vec<FeedItem> {
+fn status(rx: &mut mpsc::Receiver<Bytes>) -> Vec<FeedItem> {
     let mut out = Vec::new();
     while let Ok(b) = rx.try_recv() {
         if let Some(FeedMsg::Items(v)) = decode(&b) {
@@ -38,10 +38,10 @@
     for item in &row {
         book.publish(item.clone());
     }
-    assert_eq!(told(&mut agent), row);
-    assert_eq!(told(&mut store), [stores]);
+    assert_eq!(status(&mut agent), row);
+    assert_eq!(status(&mut store), [stores]);
     // It reads no differences: it is let go at the first, to begin anew from a snapshot.
-    assert_eq!(told(&mut old_agent), row[..3]);
+    assert_eq!(status(&mut old_agent), row[..3]);
     assert_eq!(book.follower_count(), 2);
 }
 
@@ -71,7 +71,7 @@
     let all = Wants { topics: Topics::All, patches: true };
     let mut opened = book.open(FollowFrom { feed: 0, no: 0, wants: all }, Vec::new);
     book.heartbeat(now, true);
-    assert_eq!(told(&mut opened.items), [FeedItem::Current, FeedItem::Beat]);
+    assert_eq!(status(&mut opened.items), [FeedItem::Current, FeedItem::Beat]);
     book.heartbeat(now + Duration::from_millis(1), false);
     assert_eq!(book.follower_count(), 0);
     assert!(opened.items.is_closed());
--- a/crates/control-cell/tests/trial_leader.rs
+++ b/crates/control-cell/tests/trial_leader.rs
@@ -5,7 +5,7 @@
 use control_cell::prelude::*;
 use routing_trial::prelude::{check_spec, Arm, Breach, Outcome as Came};
 
-async fn told(c: &CellHandle) -> Option<Box<TrialTold>> {
+async fn status(c: &CellHandle) -> Option<Box<TrialReport>> {
     match ask(c, TrialAsk::Tell).await {
         Some(CellReply::Trial(t)) => t,
         _ => None,
@@ -23,7 +23,7 @@
 
 async fn applied(c: &CellHandle) -> u64 {
     match c.answer(CellCall::Tell).await {
-        Some(CellReply::Told(t)) => t.applied,
+        Some(CellReply::Status(t)) => t.applied,
         _ => 0,
     }
 }
@@ -44,7 +44,7 @@
         matches!(ask(&cells[0], start).await, Some(CellReply::Outcome(Outcome::Taken)))
     })
     .await;
-    let key = told(&cells[0]).await.unwrap().record.key();
+    let key = status(&cells[0]).await.unwrap().record.key();
     until("the names", async || leader(&cells[0]).await.is_some_and(|n| n.starts_with("core-")))
         .await;
 
@@ -58,7 +58,7 @@
     }
 
     // Each cell has a node. All nodes are gone after this: only the cells can tell what they counted.
-    let turns = async |c: &CellHandle| told(c).await.map_or([0, 0], |t| t.evidence.turns);
+    let turns = async |c: &CellHandle| status(c).await.map_or([0, 0], |t| t.evidence.turns);
     for (i, c) in cells.iter().enumerate() {
         c.outcomes(vec![report(key, i, 2, 10 * (i + 1))]);
         c.outcomes(vec![report(key, i, 1, 1)]);
@@ -81,6 +81,6 @@
     cells[1].outcomes(vec![breach]);
     let want = Verdict::Guardrail(Breach::Doubles { count: 1 });
     for c in &cells {
-        until("the end", async || told(c).await.is_some_and(|t| t.verdict == want)).await;
+        until("the end", async || status(c).await.is_some_and(|t| t.verdict == want)).await;
     }
 }
--- a/crates/dispatcher/src/records/attempt.rs
+++ b/crates/dispatcher/src/records/attempt.rs
@@ -30,7 +30,7 @@
     pub service: String,
     /// The retry policy: engines it may be sent to at the most.
     #[serde(rename = "m")]
-    pub most_sends: u32,
+    pub max_attempts: u32,
     /// What the client waits, from its request on.
     #[serde(rename = "d")]
     pub deadline_ms: u64,
--- a/crates/dispatcher/tests/node.rs
+++ b/crates/dispatcher/tests/node.rs
@@ -192,7 +192,7 @@
 #[test]
 fn the_stop_of_a_gone_engine_is_confirmed_under_the_newest_epoch() {
     let mut v = call(view(1, 5), "gone");
-    let told = |v: &AttemptView| {
+    let status = |v: &AttemptView| {
         let t = tally(&[(vec![], vec![v.clone()]), (vec![], vec![call(view(2, 5), "i")])]);
         t.stopped(&|e| e != "gone")
     };
@@ -200,11 +200,11 @@
         [LedgerWrite::ConfirmStopped { req: 1, expected_epoch: v.epoch, call }]
     };
     let sent = CallPoint(v.epoch, 1);
-    assert_eq!(told(&v), confirm(&v, sent));
+    assert_eq!(status(&v), confirm(&v, sent));
     // Settled: its holder sends no more.
-    assert_eq!(told(&settled(v.clone(), 4)), confirm(&v, CallPoint::all_of(v.epoch)));
+    assert_eq!(status(&settled(v.clone(), 4)), confirm(&v, CallPoint::all_of(v.epoch)));
     v.epoch = v.epoch.next(2, 1, 4);
-    assert_eq!(told(&v), confirm(&v, sent));
+    assert_eq!(status(&v), confirm(&v, sent));
 }
 
 #[test]
--- a/crates/doctor/src/facts/mod.rs
+++ b/crates/doctor/src/facts/mod.rs
@@ -5,7 +5,7 @@
 #[derive(Debug, Clone)]
 pub struct CellFact {
     pub addr: String,
-    pub told: Option<CellTold>,
+    pub status: Option<CellStatus>,
     /// How far its time of day is from here.
     pub clock_off: Duration,
 }
@@ -16,7 +16,7 @@
     pub state: String,
     pub addr: String,
     /// The version of its set, whether it lost its disk, and its turns.
-    pub told: Option<(u64, bool, u64)>,
+    pub status: Option<(u64, bool, u64)>,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -53,13 +53,13 @@
     let mut stores: BTreeMap<String, (String, String)> = BTreeMap::new();
     while let Some(addr) = todo.pop_front() {
         let before = unix_ms();
-        let told = match Caller::new(addr.clone()).call(&CellCall::Tell, WITHIN).await {
-            Ok(CellReply::Told(t)) => Some(t),
+        let status = match Caller::new(addr.clone()).call(&CellCall::Tell, WITHIN).await {
+            Ok(CellReply::Status(t)) => Some(t),
             _ => None,
         };
         let mid = (before + unix_ms()) / 2;
         let mut clock_off = Duration::ZERO;
-        if let Some(t) = &told {
+        if let Some(t) = &status {
             clock_off = Duration::from_millis(t.unix_ms.abs_diff(mid));
             for a in &t.cells {
                 if seen.insert(a.clone()) {
@@ -70,14 +70,14 @@
                 stores.insert(name.clone(), (state.clone(), addr.clone()));
             }
         }
-        f.cells.push(CellFact { addr, told, clock_off });
+        f.cells.push(CellFact { addr, status, clock_off });
     }
     for (name, (state, addr)) in stores {
-        let told = match Caller::new(addr.clone()).call(&StoreCall::Tell, WITHIN).await {
-            Ok(StoreReply::Told { version, fresh, turns, .. }) => Some((version, fresh, turns)),
+        let status = match Caller::new(addr.clone()).call(&StoreCall::Tell, WITHIN).await {
+            Ok(StoreReply::Status { version, fresh, turns, .. }) => Some((version, fresh, turns)),
             _ => None,
         };
-        f.stores.push(StoreFact { name, state, addr, told });
+        f.stores.push(StoreFact { name, state, addr, status });
     }
     if let Some(cloud) = &settings.cloud {
         for zone in settings.zones.keys() {
--- a/crates/doctor/src/findings/mod.rs
+++ b/crates/doctor/src/findings/mod.rs
@@ -15,9 +15,9 @@
     let mut say = |place: &str, fault: String, remedy: &str| {
         out.push(Finding { place: place.into(), fault, remedy: remedy.into() });
     };
-    let told: Vec<&CellTold> = f.cells.iter().filter_map(|c| c.told.as_ref()).collect();
+    let status: Vec<&CellStatus> = f.cells.iter().filter_map(|c| c.status.as_ref()).collect();
     for c in &f.cells {
-        match &c.told {
+        match &c.status {
             None => say(
                 &c.addr,
                 "no cell answers".into(),
@@ -31,12 +31,12 @@
             Some(_) => {}
         }
     }
-    if told.is_empty() {
+    if status.is_empty() {
         return out;
     }
-    let newest = told.iter().map(|t| t.applied).max().unwrap_or(0);
-    let version = told.iter().map(|t| t.config_version).max().unwrap_or(0);
-    let leaders: BTreeSet<&str> = told.iter().filter_map(|t| t.leader.as_deref()).collect();
+    let newest = status.iter().map(|t| t.applied).max().unwrap_or(0);
+    let version = status.iter().map(|t| t.config_version).max().unwrap_or(0);
+    let leaders: BTreeSet<&str> = status.iter().filter_map(|t| t.leader.as_deref()).collect();
     match leaders.len() {
         0 => say(
             "core",
@@ -50,7 +50,7 @@
             "ask again in a second; if it stays so, look for a cut between the cells",
         ),
     }
-    for t in &told {
+    for t in &status {
         if t.config_version < version {
             say(
                 &t.name,
@@ -68,7 +68,7 @@
     if version == 0 {
         say("core", "no configuration was taken yet".into(), "PUT /config with If-Match: 0");
     }
-    let best = told.iter().max_by_key(|t| t.applied);
+    let best = status.iter().max_by_key(|t| t.applied);
     if let Some(t) = best {
         if t.members.len() < 3 {
             say(
@@ -101,7 +101,7 @@
             );
         }
     }
-    let set = f.stores.iter().filter_map(|s| s.told).map(|(version, _, _)| version).max();
+    let set = f.stores.iter().filter_map(|s| s.status).map(|(version, _, _)| version).max();
     let counted = f.stores.iter().filter(|s| s.state == "Seated").count();
     if counted < 3 && !f.stores.is_empty() {
         say(
@@ -111,7 +111,7 @@
         );
     }
     for s in &f.stores {
-        match s.told {
+        match s.status {
             None => say(
                 &s.name,
                 format!("the store at {} doesn't answer", s.addr),
@@ -175,7 +175,7 @@
     fn sound() -> Facts {
         let cell = |name: &str| CellFact {
             addr: format!("{name}:1"),
-            told: Some(CellTold {
+            status: Some(CellStatus {
                 name: name.into(),
                 leader: Some("c1".into()),
                 applied: 9,
@@ -183,7 +183,7 @@
                 members: vec!["c1".into(), "c2".into(), "c3".into()],
                 voters: vec!["c1".into(), "c2".into(), "c3".into()],
                 zones: vec![("a".into(), Some("c1".into()), 2)],
-                ..CellTold::default()
+                ..CellStatus::default()
             }),
             clock_off: Duration::ZERO,
         };
@@ -191,7 +191,7 @@
             name: name.into(),
             state: "Seated".into(),
             addr: String::new(),
-            told: Some((1, false, 7)),
+            status: Some((1, false, 7)),
         };
         Facts {
             cells: ["c1", "c2", "c3"].map(cell).to_vec(),
@@ -210,16 +210,16 @@
     fn each_common_fault_is_found_with_a_remedy() {
         type Break = fn(&mut Facts);
         let rows: [(Break, &str); 12] = [
-            (|f| f.cells[2].told = None, "no cell answers"),
+            (|f| f.cells[2].status = None, "no cell answers"),
             (|f| f.cells[1].clock_off = Duration::from_secs(9), "time of day"),
             (
-                |f| f.cells.iter_mut().for_each(|c| c.told.as_mut().unwrap().leader = None),
+                |f| f.cells.iter_mut().for_each(|c| c.status.as_mut().unwrap().leader = None),
                 "no cell knows a leader",
             ),
-            (|f| f.cells[0].told.as_mut().unwrap().leader = Some("c2".into()), "several leaders"),
-            (|f| f.cells[1].told.as_mut().unwrap().config_version = 3, "configuration 3 of 4"),
+            (|f| f.cells[0].status.as_mut().unwrap().leader = Some("c2".into()), "several leaders"),
+            (|f| f.cells[1].status.as_mut().unwrap().config_version = 3, "configuration 3 of 4"),
             (
-                |f| f.cells.iter_mut().for_each(|c| c.told.as_mut().unwrap().zones[0].1 = None),
+                |f| f.cells.iter_mut().for_each(|c| c.status.as_mut().unwrap().zones[0].1 = None),
                 "no living cell",
             ),
             (
@@ -234,8 +234,8 @@
                 },
                 "list can't be read",
             ),
-            (|f| f.stores[0].told = None, "doesn't answer"),
-            (|f| f.stores[0].told = Some((1, true, 0)), "lost its disk"),
+            (|f| f.stores[0].status = None, "doesn't answer"),
+            (|f| f.stores[0].status = Some((1, true, 0)), "lost its disk"),
             (|f| f.disk.as_mut().unwrap().damage.push("bad record".into()), "bad record"),
             (|f| f.disk.as_mut().unwrap().used = 90, "MB are used"),
         ];
--- a/crates/doctor/src/prelude.rs
+++ b/crates/doctor/src/prelude.rs
@@ -1,7 +1,7 @@
 //! The one module every file of this package imports.
 pub use crate::facts::{gather, CellFact, DiskFact, Facts, StoreFact};
 pub use crate::findings::{find_faults, Finding};
-pub use inner_protocol::cells::{CellCall, CellReply, CellTold};
+pub use inner_protocol::cells::{CellCall, CellReply, CellStatus};
 pub use inner_protocol::prelude::*;
 pub use inner_protocol::stores::{StoreCall, StoreReply};
 pub use node_base::disk::verify_segments;
--- a/crates/feed-agent/src/keep/mod.rs
+++ b/crates/feed-agent/src/keep/mod.rs
@@ -92,7 +92,7 @@
 /// Keeps the view until `leaving` says so and no proxy is left to feed.
 pub async fn keep(
     mut k: Keeper,
-    mut news: mpsc::Receiver<News>,
+    mut news: mpsc::Receiver<FeedUpdate>,
     mut opens: mpsc::Receiver<Opened>,
     mut reports: mpsc::Receiver<NodeReport>,
     mut leaving: watch::Receiver<bool>,
@@ -113,8 +113,8 @@
                 }
             }
             n = news.recv() => match n {
-                Some(News::Items(items)) => k.take(items),
-                Some(News::Down) => {}
+                Some(FeedUpdate::Items(items)) => k.take(items),
+                Some(FeedUpdate::Down) => {}
                 None => return,
             },
             r = reports.recv() => match r {
--- a/crates/feed-agent/tests/keeper.rs
+++ b/crates/feed-agent/tests/keeper.rs
@@ -45,8 +45,8 @@
     k.count(report(key, 1, 2));
     k.count(report(key, 2, 1));
     k.count(report(key + 1, 3, 1));
-    let told = word.borrow().clone().unwrap();
-    let lives: Vec<(u64, u64)> = told.iter().map(|r| (r.incarnation, r.seq)).collect();
+    let status = word.borrow().clone().unwrap();
+    let lives: Vec<(u64, u64)> = status.iter().map(|r| (r.incarnation, r.seq)).collect();
     assert_eq!(lives, [(1, 3), (2, 1)]);
     for life in 4..20 {
         k.count(report(key, life, 1));
--- a/crates/feed-follow/src/link/mod.rs
+++ b/crates/feed-follow/src/link/mod.rs
@@ -49,7 +49,7 @@
 
 /// What a link brings its follower.
 #[derive(Debug, Clone)]
-pub enum News {
+pub enum FeedUpdate {
     /// Items of the feed, in its order, configurations whole.
     Items(Vec<FeedItem>),
     /// The link is down; what is known may grow old.
@@ -68,7 +68,7 @@
 /// `repeat`.
 pub async fn follow_cells<W: Into<FollowMsg> + Clone>(
     settings: FollowSettings,
-    out: mpsc::Sender<News>,
+    out: mpsc::Sender<FeedUpdate>,
     mut status: watch::Receiver<Option<W>>,
 ) {
     let mut seeds = settings.seeds.clone();
@@ -102,7 +102,7 @@
         feed.handle(&FeedEvent::Lost);
         if followed {
             pause.reset();
-            if out.send(News::Down).await.is_err() {
+            if out.send(FeedUpdate::Down).await.is_err() {
                 return;
             }
         }
@@ -129,7 +129,7 @@
     wire: &mut Wire,
     at: &mut LinkAt<'_>,
     feed: &mut InitializedStateMachine<Feed>,
-    out: &mpsc::Sender<News>,
+    out: &mpsc::Sender<FeedUpdate>,
     status: &mut watch::Receiver<Option<W>>,
 ) -> Option<()> {
     let hello = FollowMsg::Follow {
@@ -200,10 +200,10 @@
                             list.push(item);
                         }
                         if !list.is_empty() {
-                            out.send(News::Items(list)).await.ok()?;
+                            out.send(FeedUpdate::Items(list)).await.ok()?;
                         }
-                        let told = matches!(feed.state(), FeedState::Following {});
-                        if told && at.cells.goes_home(at.cell, at.began.elapsed()) {
+                        let follows = matches!(feed.state(), FeedState::Following {});
+                        if follows && at.cells.goes_home(at.cell, at.began.elapsed()) {
                             return None;
                         }
                     }
--- a/crates/feed-follow/src/prelude.rs
+++ b/crates/feed-follow/src/prelude.rs
@@ -1,6 +1,6 @@
 //! The one module every file of this package imports.
 pub use crate::base::PatchBase;
-pub use crate::link::{follow_cells, FollowSettings, News};
+pub use crate::link::{follow_cells, FeedUpdate, FollowSettings};
 pub use crate::rank::CellRank;
 pub use crate::seeds::Seeds;
 pub use crate::view::{FeedView, ViewedCells, ViewedConfig, ViewedTrial};
--- a/crates/inner-protocol/src/cells.rs
+++ b/crates/inner-protocol/src/cells.rs
@@ -410,7 +410,7 @@
 
 /// The trial that runs, or the last one. While it runs, `verdict` and `evidence` are of this moment.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct TrialTold {
+pub struct TrialReport {
     /// As agreed on.
     pub record: TrialRecord,
     /// What it came to.
@@ -433,9 +433,9 @@
     /// This cell can't do it now (no leader, cut off, or being left).
     Unable,
     /// The answer to `Tell`.
-    Told(CellTold),
+    Status(CellStatus),
     /// The routing trial; none when there never was one.
-    Trial(Option<Box<TrialTold>>),
+    Trial(Option<Box<TrialReport>>),
 }
 
 /// How far a store's retirement is.
@@ -453,7 +453,7 @@
 
 /// What a cell reports of itself to `doctor`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct CellTold {
+pub struct CellStatus {
     /// Its machine's name.
     pub name: String,
     /// Its term.
--- a/crates/inner-protocol/src/stores/mod.rs
+++ b/crates/inner-protocol/src/stores/mod.rs
@@ -165,7 +165,7 @@
     Behind,
     Sync(SyncReply),
     Unable,
-    Told {
+    Status {
         name: String,
         turns: u64,
         programs: u64,
--- a/crates/operator-config/src/check/fields.rs
+++ b/crates/operator-config/src/check/fields.rs
@@ -197,7 +197,7 @@
                 gap_aim: self.ms(obj, &at, "targetGapMs", 1000.0),
                 priority: self.num(obj, &at, "priorityLevel", 5.0, 255.0) as u8,
                 splits,
-                most_sends: (self.num(obj, &at, "maxAttempts", 2.0, 1000.0) as u32).max(1),
+                max_attempts: (self.num(obj, &at, "maxAttempts", 2.0, 1000.0) as u32).max(1),
                 retained: self.flag(obj, &at, "retained"),
                 retention: Duration::from_secs_f64(retention),
                 sticky: self.flag(obj, &at, "stickySessions"),
--- a/crates/operator-config/src/routes/mod.rs
+++ b/crates/operator-config/src/routes/mod.rs
@@ -26,7 +26,7 @@
     pub gap_aim: Duration,
     pub priority: u8,
     pub splits: Vec<Split>,
-    pub most_sends: u32,
+    pub max_attempts: u32,
     pub retained: bool,
     pub retention: Duration,
     pub sticky: bool,
--- a/crates/request-proxy/src/app/feed.rs
+++ b/crates/request-proxy/src/app/feed.rs
@@ -21,7 +21,7 @@
     tokio::spawn(async move {
         let mut view = FeedView::default();
         while let Some(n) = rx.recv().await {
-            let News::Items(items) = n else { continue };
+            let FeedUpdate::Items(items) = n else { continue };
             for item in items {
                 if view.take(&item) {
                     app.apply_update(&item);
--- a/crates/request-proxy/src/flow/place.rs
+++ b/crates/request-proxy/src/flow/place.rs
@@ -58,7 +58,7 @@
         let mut sched = locked(&app.sched);
         match sched.place(ask, app.now()) {
             Placed::Go(g) => return Ok(held(g)),
-            Placed::Shed(after) => {
+            Placed::Refused(after) => {
                 return Err(OwnAnswer::Refused { after, why: "no engine can take it in time" })
             }
             Placed::Wait(ticket) => {
--- a/crates/request-proxy/src/flow/plain.rs
+++ b/crates/request-proxy/src/flow/plain.rs
@@ -140,7 +140,7 @@
         let silent = silent_after(job, &g);
         let first_key = g.key;
         let mut first = begin(held, g);
-        let (key, came) = if repeatable && sends + 1 < job.route.most_sends {
+        let (key, came) = if repeatable && sends + 1 < job.route.max_attempts {
             match tokio::time::timeout(silent, &mut first).await {
                 Ok(out) => out,
                 Err(_) => {
@@ -161,7 +161,7 @@
                 sends += 1;
                 let again = r.status().is_server_error()
                     && repeatable
-                    && sends < job.route.most_sends
+                    && sends < job.route.max_attempts
                     && !job.left().is_zero()
                     && may_repeat(job);
                 if !again {
@@ -177,13 +177,13 @@
                 debug!("{}: {}", job.head.request_id, why);
                 sends += 1;
                 lost = Some(why);
-                if !repeatable || sends >= job.route.most_sends || !may_repeat(job) {
+                if !repeatable || sends >= job.route.max_attempts || !may_repeat(job) {
                     return Err(OwnAnswer::Lost(why));
                 }
             }
             Came::Late => return Err(OwnAnswer::Late),
         }
-        let over = sends >= job.route.most_sends || unreached >= 4;
+        let over = sends >= job.route.max_attempts || unreached >= 4;
         if over || job.left() < Duration::from_millis(10) {
             return Err(match lost {
                 Some(why) => OwnAnswer::Lost(why),
@@ -198,7 +198,7 @@
         service: job.service.clone(),
         blocks: Vec::new(),
         session: None,
-        told_holder: None,
+        reported_holder: None,
         prompt_tokens: 0,
         most_out: 0,
         memory_limit: 0,
--- a/crates/request-proxy/src/flow/turn.rs
+++ b/crates/request-proxy/src/flow/turn.rs
@@ -91,7 +91,7 @@
         pinned: Pinned {
             config_version: job.live.version,
             service: job.service.to_string(),
-            most_sends: job.route.most_sends,
+            max_attempts: job.route.max_attempts,
             deadline_ms: job.left().as_millis() as u64,
             retained: job.route.retained,
         },
@@ -146,7 +146,7 @@
         service: job.service.clone(),
         blocks: turn.blocks.clone(),
         session: job.head.session.map(Into::into),
-        told_holder: last.map(|t| EngineKey::of(read_answered_by(&t.engine).0)),
+        reported_holder: last.map(|t| EngineKey::of(read_answered_by(&t.engine).0)),
         prompt_tokens: turn.tokens.0,
         most_out: turn.tokens.1,
         memory_limit: engine.map_or(0, |e| e.cache_tokens / 100 * 95),
@@ -299,7 +299,7 @@
             }
             SendOutcome::Late => return Err(OwnAnswer::Late),
         }
-        let over = sends >= job.route.most_sends || unreached >= 4;
+        let over = sends >= job.route.max_attempts || unreached >= 4;
         if over || job.left() < Duration::from_millis(20) {
             return Err(OwnAnswer::refused(80, "the engines are full"));
         }
--- a/crates/request-proxy/src/prelude.rs
+++ b/crates/request-proxy/src/prelude.rs
@@ -13,7 +13,7 @@
     RecoverDecision, RecoverTally,
 };
 pub use feed_follow::prelude::{
-    follow_cells, FeedItem, FeedView, FollowSettings, News, Seeds, Topics,
+    follow_cells, FeedItem, FeedUpdate, FeedView, FollowSettings, Seeds, Topics,
 };
 pub use http::request::Parts as RequestParts;
 pub use http::{HeaderMap, HeaderValue};
--- a/crates/request-proxy/src/sending/send.rs
+++ b/crates/request-proxy/src/sending/send.rs
@@ -115,7 +115,7 @@
     let mut it = s.split(',').map(|x| x.trim().parse::<u32>());
     if let (Some(Ok(run)), Some(Ok(wait)), Some(Ok(slots))) = (it.next(), it.next(), it.next()) {
         if let Some(e) = sched.engines.get_mut(g.key) {
-            e.told(run, wait, slots, now);
+            e.report_load(run, wait, slots, now);
         }
     }
 }
--- a/crates/session-index/src/engines/mod.rs
+++ b/crates/session-index/src/engines/mod.rs
@@ -52,7 +52,7 @@
     }
 
     /// A load as the engine tells it: running, waiting, slots.
-    pub fn told(&mut self, running: u32, waiting: u32, slots: u32, now: Duration) {
+    pub fn report_load(&mut self, running: u32, waiting: u32, slots: u32, now: Duration) {
         if slots > 0 {
             self.slots = slots;
         }
--- a/crates/session-index/src/evidence/tests.rs
+++ b/crates/session-index/src/evidence/tests.rs
@@ -168,9 +168,9 @@
       {"from": 0, "to": 5000, "every": 200, "engines": [1], "met": "answer", "ms": 100, "health": "bad"},
       {"from": 0, "to": 5000, "every": 200, "engines": [0], "met": "server_error", "ms": 30, "health": "good"}
     ]"#;
-    let told: [(&str, &str); 3] =
+    let status: [(&str, &str); 3] =
         [("", ""), ("\"good\"", "\"bad\""), (", \"health\": \"bad\"", "")];
-    for (a, b) in told {
+    for (a, b) in status {
         let mut t = table(6);
         play(&mut t, &trace.replace(a, b), ms(0));
         assert!(out(&t, 0) && (1..6).all(|n| !out(&t, n)));
@@ -362,7 +362,7 @@
         service: SERVICE.into(),
         blocks: Vec::new(),
         session: None,
-        told_holder: None,
+        reported_holder: None,
         prompt_tokens: 0,
         most_out: 0,
         memory_limit: 0,
--- a/crates/session-index/src/scheduler/elect.rs
+++ b/crates/session-index/src/scheduler/elect.rs
@@ -34,7 +34,8 @@
             true => self.index.look_up(&ask.blocks, now),
             false => Vec::new(),
         };
-        let holder = ask.session.as_ref().and_then(|s| self.index.holder_of(s)).or(ask.told_holder);
+        let holder =
+            ask.session.as_ref().and_then(|s| self.index.holder_of(s)).or(ask.reported_holder);
         let held = |k: EngineKey| hits.iter().find(|(x, _)| *x == k).map_or(0, |(_, n)| *n);
         let prior = SharedPrior::of(&self.engines, ask, &hits, now);
         let mut best: Option<(f64, &EngineRow, u32, u32)> = None;
@@ -51,7 +52,7 @@
             // Nothing known of the line here, but its records name this engine: all but the newest
             // input is likely there.
             let mut hit = held(e.key);
-            if ask.told_holder == Some(e.key) && ask.is_turn {
+            if ask.reported_holder == Some(e.key) && ask.is_turn {
                 let before = ask.blocks.len().checked_sub(2).map_or(0, |i| ask.blocks[i].end);
                 hit = hit.max(before);
             }
--- a/crates/session-index/src/scheduler/mod.rs
+++ b/crates/session-index/src/scheduler/mod.rs
@@ -15,7 +15,7 @@
     pub blocks: Vec<Block>,
     pub session: Option<Arc<str>>,
     /// An engine that held the line as its records tell, when this proxy knows nothing of the line.
-    pub told_holder: Option<EngineKey>,
+    pub reported_holder: Option<EngineKey>,
     pub prompt_tokens: u32,
     pub most_out: u32,
     pub memory_limit: u64,
@@ -81,7 +81,7 @@
     /// Wait for the grant under this ticket.
     Wait(u64),
     /// It can't be met: come back after.
-    Shed(Duration),
+    Refused(Duration),
 }
 
 #[derive(Debug, Clone)]
@@ -172,13 +172,14 @@
 
     pub fn place(&mut self, ask: Ask, now: Duration) -> Placed {
         if self.engines.of_service(&ask.service).next().is_none() {
-            return Placed::Shed(Duration::from_millis(300));
+            return Placed::Refused(Duration::from_millis(300));
         }
         if let Some(g) = self.place_now(&ask, now) {
             return Placed::Go(g);
         }
         let wait = self.expected_wait(&ask, now);
-        let refused = Placed::Shed(wait.clamp(Duration::from_millis(50), Duration::from_secs(2)));
+        let refused =
+            Placed::Refused(wait.clamp(Duration::from_millis(50), Duration::from_secs(2)));
         if wait > ask.budget / 2 {
             return refused;
         }
@@ -302,7 +303,7 @@
         let Some(e) = self.engines.get_mut(key) else {
             return;
         };
-        e.told(load.0, load.1, 0, now);
+        e.report_load(load.0, load.1, 0, now);
         if total > 0 {
             // Lines that run now are counted as used, and may be among the records.
             let keeps = total.saturating_sub(used) + e.memory.min(used);
--- a/crates/session-index/src/scheduler/prior/mod.rs
+++ b/crates/session-index/src/scheduler/prior/mod.rs
@@ -29,7 +29,7 @@
         let free = |k: &EngineKey| {
             engines.get(*k).is_some_and(|e| !e.draining && e.busy(now) < f64::from(e.slots) / 2.0)
         };
-        if ask.told_holder.iter().chain(hits.iter().map(|(k, _)| k)).any(free) {
+        if ask.reported_holder.iter().chain(hits.iter().map(|(k, _)| k)).any(free) {
             return out;
         }
         let mut zones: HashMap<&str, Vec<u64>> = HashMap::new();
--- a/crates/session-index/src/scheduler/prior/tests.rs
+++ b/crates/session-index/src/scheduler/prior/tests.rs
@@ -36,7 +36,7 @@
         let (mut s, ask) = (proxy(), turn("l", &["p", "1"]));
         let first = go(s.place(ask.clone(), NOW)).key;
         if let Some(e) = s.engines.get_mut(first) {
-            e.told(u.int_in_range(30..=60)?, 0, 64, NOW);
+            e.report_load(u.int_in_range(30..=60)?, 0, 64, NOW);
         }
         assert_ne!(go(s.place(ask.clone(), NOW)).key, first);
 
@@ -44,7 +44,7 @@
         s.index.answered("m", at, &turn("m", &["p", "2"]).blocks, KEEP, NOW);
         let busy = u.int_in_range(0..=16)?;
         if let Some(e) = s.engines.get_mut(at) {
-            e.told(busy, 0, 16, NOW);
+            e.report_load(busy, 0, 16, NOW);
         }
         let hits = s.index.look_up(&ask.blocks, NOW);
         let prior = SharedPrior::of(&s.engines, &ask, &hits, NOW);
--- a/crates/session-index/src/scheduler/tests.rs
+++ b/crates/session-index/src/scheduler/tests.rs
@@ -35,7 +35,7 @@
         prompt_tokens: 1000 * ids.len() as u32,
         blocks,
         session: Some(line.into()),
-        told_holder: None,
+        reported_holder: None,
         most_out: 100,
         memory_limit: 0,
         is_turn: true,
@@ -79,7 +79,7 @@
     let a = turn("l", &["p", "1"]);
     s.index.answered("l", z, &a.blocks, KEEP, NOW);
     if let Some(e) = s.engines.get_mut(z) {
-        e.told(3, 0, 8, NOW);
+        e.report_load(3, 0, 8, NOW);
     }
     for _ in 0..20 {
         let g = go(s.place(turn("l", &["p", "1", "2"]), NOW));
@@ -111,7 +111,7 @@
 fn a_line_told_by_its_records_goes_to_the_engine_they_name() {
     let mut s = scheduler();
     let mut a = turn("l", &["p", "1", "2"]);
-    a.told_holder = Some(EngineKey::of("y"));
+    a.reported_holder = Some(EngineKey::of("y"));
     let g = go(s.place(a, NOW));
     assert_eq!((g.key, g.reason, g.hit), (EngineKey::of("y"), Reason::Hit, 2000));
 }
@@ -145,10 +145,10 @@
     }
     let mut late = plain(2, 10);
     late.budget = Duration::from_millis(20);
-    assert!(matches!(s.place(late, NOW), Placed::Shed(_)));
+    assert!(matches!(s.place(late, NOW), Placed::Refused(_)));
     let mut none = plain(2, 10);
     none.service = "unknown".into();
-    assert!(matches!(s.place(none, NOW), Placed::Shed(_)));
+    assert!(matches!(s.place(none, NOW), Placed::Refused(_)));
 }
 
 #[test]
@@ -242,7 +242,7 @@
         match s.place(plain(0, 100), NOW) {
             Placed::Go(g) => grants.push(g),
             Placed::Wait(t) => break t,
-            Placed::Shed(_) => panic!("no wait"),
+            Placed::Refused(_) => panic!("no wait"),
         }
     };
     // By itself the scheduler lets nobody past: a less urgent one waits as well, and goes after.
--- a/crates/spokebank/tests/settings_reload.rs
+++ b/crates/spokebank/tests/settings_reload.rs
@@ -2,7 +2,7 @@
 //! what is new is used. Before settings were reread, SIGHUP ended each of these processes.
 mod support;
 
-use inner_protocol::cells::{CellCall, CellReply, CellTold};
+use inner_protocol::cells::{CellCall, CellReply, CellStatus};
 use inner_protocol::stores::{StoreCall, StoreReply};
 use nix::sys::signal::Signal;
 use node_base::settings::{CELL_PORT, STORE_PORT};
@@ -228,10 +228,10 @@
     }
 }
 
-async fn told(net: &Net, host: u8) -> Option<CellTold> {
+async fn status(net: &Net, host: u8) -> Option<CellStatus> {
     let cell = Caller::new(net.inner(host, CELL_PORT));
     match cell.call(&CellCall::Tell, Duration::from_secs(1)).await {
-        Ok(CellReply::Told(t)) => Some(t),
+        Ok(CellReply::Status(t)) => Some(t),
         _ => None,
     }
 }
@@ -239,7 +239,7 @@
 async fn store_version(net: &Net, host: u8) -> u64 {
     let store = Caller::new(net.inner(host, STORE_PORT));
     match store.call(&StoreCall::Tell, Duration::from_secs(1)).await {
-        Ok(StoreReply::Told { version, .. }) => version,
+        Ok(StoreReply::Status { version, .. }) => version,
         _ => 0,
     }
 }
@@ -278,8 +278,10 @@
         cells.push(net.start("control-cell", settings));
     }
     for host in [4, 5] {
-        until("three voters", async || told(&net, host).await.is_some_and(|t| t.voters.len() == 3))
-            .await;
+        until("three voters", async || {
+            status(&net, host).await.is_some_and(|t| t.voters.len() == 3)
+        })
+        .await;
     }
     core.kill();
     let body = config(4, true);
@@ -310,11 +312,11 @@
     let mut lost = net.settings("core-6", "core", 6, "a");
     lost.first_start = false;
     let mut lost = net.start("control-cell", lost);
-    until("its start", async || told(&net, 6).await.is_some()).await;
+    until("its start", async || status(&net, 6).await.is_some()).await;
     lost.rewrite(|s| s.seeds.clone_from(&seeds));
     lost.hang_up();
     until("the cell to be taken in", async || {
-        told(&net, 6).await.is_some_and(|t| t.members.iter().any(|m| m == "core-6"))
+        status(&net, 6).await.is_some_and(|t| t.members.iter().any(|m| m == "core-6"))
     })
     .await;
     assert!(nodes.iter_mut().chain([&mut proxy, &mut lost]).all(Node::runs));
--- a/crates/stand-ins/tests/routing_trial.rs
+++ b/crates/stand-ins/tests/routing_trial.rs
@@ -3,7 +3,7 @@
 use request_proxy::Running;
 use routing_trial::prelude::{arm_of, Arm, Breach};
 use stand_ins::prelude::*;
-use trial_tool::prelude::{ask_cells, CellReply, TrialAsk, TrialTold};
+use trial_tool::prelude::{ask_cells, CellReply, TrialAsk, TrialReport};
 
 const PORTS: u16 = 27_480;
 const FRONTS: [&str; 2] = ["127.0.10.30:28149", "127.0.10.31:28149"];
@@ -86,7 +86,7 @@
     call(FRONTS[front], "POST", "/t/x", &h, b"said").await.unwrap()
 }
 
-async fn told(settings: &NodeSettings) -> Option<Box<TrialTold>> {
+async fn status(settings: &NodeSettings) -> Option<Box<TrialReport>> {
     match ask_cells(settings, TrialAsk::Tell).await {
         Ok(CellReply::Trial(t)) => t,
         _ => None,
@@ -140,7 +140,7 @@
         })
         .await;
     }
-    assert!(told(&core).await.is_none());
+    assert!(status(&core).await.is_none());
     assert_eq!(trial_tool::stop(&core, false).await.unwrap(), 1, "nothing to stop");
 
     // Conversations that began before the trial stay out of it.
@@ -151,7 +151,7 @@
     assert_eq!(trial_tool::check(&file), 0);
     assert_eq!(trial_tool::start(&core, &file).await.unwrap(), 0);
     assert_eq!(trial_tool::start(&core, &file).await.unwrap(), 1, "one runs");
-    let key = told(&core).await.unwrap().record.key();
+    let key = status(&core).await.unwrap().record.key();
     until("both proxies to know", async || all_know(&proxies, key, true)).await;
     for i in 0..8 {
         let (id, prev) = (format!("o{i}-2"), format!("o{i}"));
@@ -170,11 +170,11 @@
     }
     assert!(want.iter().all(|w| w.0 > 0), "both arms have conversations: {want:?}");
     let seen = async || {
-        let e = told(&core).await.unwrap().evidence;
+        let e = status(&core).await.unwrap().evidence;
         [(e.conversations[0], e.turns[0]), (e.conversations[1], e.turns[1])]
     };
     until("all outcomes at the cell", async || seen().await == want).await;
-    assert_eq!(told(&core).await.unwrap().evidence.nodes, 2);
+    assert_eq!(status(&core).await.unwrap().evidence.nodes, 2);
     assert_eq!(all_have_candidate(&proxies), [true, true]);
 
     // A protected stream breaks off on the candidate: every node goes back.
@@ -184,7 +184,7 @@
     assert!(!turn(1, "cut", Some(&format!("{p}-2")), &p).await.whole);
     until("all proxies back", async || all_know(&proxies, key, false)).await;
     assert_eq!(all_have_candidate(&proxies), [false, false]);
-    let t = told(&core).await.unwrap();
+    let t = status(&core).await.unwrap();
     let Verdict::Guardrail(Breach::Broken { counts, .. }) = &t.verdict else {
         panic!("{:?}", t.verdict);
     };
@@ -195,7 +195,7 @@
 
     // Another may begin at once. Stopped in order, its conversations finish on their arm.
     assert_eq!(trial_tool::start(&core, &trial_file(&dir, "two")).await.unwrap(), 0);
-    let key = told(&core).await.unwrap().record.key();
+    let key = status(&core).await.unwrap().record.key();
     until("both to know the second", async || all_know(&proxies, key, true)).await;
     assert_eq!(turn(0, "s1", None, "second").await.status, 200);
     until("its outcome", async || seen().await.iter().map(|s| s.1).sum::<u64>() == 1).await;
--- a/crates/trial-tool/src/lib.rs
+++ b/crates/trial-tool/src/lib.rs
@@ -68,7 +68,7 @@
     Ok(agreed(r, "stopped", "no trial runs"))
 }
 
-async fn told(settings: &NodeSettings) -> NodeResult<Option<Box<TrialTold>>> {
+async fn status(settings: &NodeSettings) -> NodeResult<Option<Box<TrialReport>>> {
     match ask_cells(settings, TrialAsk::Tell).await? {
         CellReply::Trial(t) => Ok(t),
         _ => Err(NodeError::Other { reason: "the cells could not tell".into() }),
@@ -77,7 +77,7 @@
 
 /// Prints the verdict, and draws the looks into `plot`.
 pub async fn verdict(settings: &NodeSettings, json: bool, plot: Option<&str>) -> NodeResult<i32> {
-    let Some(t) = told(settings).await? else {
+    let Some(t) = status(settings).await? else {
         println!("{}", if json { "null" } else { "there was no trial yet" });
         return Ok(1);
     };
@@ -104,7 +104,7 @@
     let mut last = String::new();
     loop {
         // A cell that can't answer now is asked again: the trial goes on without us.
-        if let Ok(t) = told(settings).await {
+        if let Ok(t) = status(settings).await {
             let Some(t) = t else {
                 println!("there was no trial yet");
                 return Ok(1);
@@ -123,7 +123,7 @@
     }
 }
 
-fn line_of(t: &TrialTold) -> String {
+fn line_of(t: &TrialReport) -> String {
     let [a, b] = t.evidence.conversations;
     let between = match &t.evidence.estimate {
         Some(e) => format!(
--- a/crates/turn-store/src/actor/work.rs
+++ b/crates/turn-store/src/actor/work.rs
@@ -229,7 +229,7 @@
                     return;
                 }
                 let mut r = self.tables.call(*q, now, log);
-                if let StoreReply::Told { name, disk_bytes, .. } = &mut r {
+                if let StoreReply::Status { name, disk_bytes, .. } = &mut r {
                     name.clone_from(&self.name);
                     *disk_bytes = self.log.segment_len();
                 }
--- a/crates/turn-store/src/lib.rs
+++ b/crates/turn-store/src/lib.rs
@@ -25,7 +25,7 @@
     let h = store.clone();
     tokio::spawn(async move {
         while let Some(n) = rx.recv().await {
-            if let News::Items(items) = n {
+            if let FeedUpdate::Items(items) = n {
                 for i in items {
                     if let FeedItem::Stores(set) = i {
                         h.learn(set).await;
--- a/crates/turn-store/src/prelude.rs
+++ b/crates/turn-store/src/prelude.rs
@@ -2,7 +2,7 @@
 pub use crate::actor::{StoreCommand, StoreHandle};
 pub use crate::history::{History, Learnt};
 pub use crate::tables::{Logged, StoreTables};
-pub use feed_follow::prelude::{follow_cells, FeedItem, FollowSettings, News};
+pub use feed_follow::prelude::{follow_cells, FeedItem, FeedUpdate, FollowSettings};
 pub use inner_protocol::prelude::*;
 pub use inner_protocol::stores::*;
 pub use spdlog::info;
--- a/crates/turn-store/src/tables/mod.rs
+++ b/crates/turn-store/src/tables/mod.rs
@@ -246,7 +246,7 @@
             StoreCall::Sync(q) => self.sync(q),
             // The owner takes it.
             StoreCall::Learn { .. } => StoreReply::Done,
-            StoreCall::Tell => StoreReply::Told {
+            StoreCall::Tell => StoreReply::Status {
                 name: String::new(),
                 turns: self.turns.len() as u64,
                 programs: self.programs.len() as u64,
