--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -215,8 +215,9 @@
         self.node.leads()
     }
 
-    pub fn leads_with_current_state(&self) -> bool {
-        leads_with_current_state(&self.node)
+    /// Whether this cell leads and may start duties from its state.
+    pub fn ready_to_serve(&self) -> bool {
+        self.node.ready_to_serve(self.began.elapsed())
     }
 
     pub fn members(&self) -> &[Member] {
--- a/crates/control-cell/src/actor/duties.rs
+++ b/crates/control-cell/src/actor/duties.rs
@@ -23,7 +23,7 @@
             return true;
         }
         let all_agreed = self.driver.node.commit == self.driver.node.log.last();
-        if !all_agreed || !self.driver.leads_with_current_state() {
+        if !all_agreed || !self.driver.ready_to_serve() {
             // One thing at a time: what was proposed last isn't agreed on yet.
             return true;
         }
--- a/crates/control-cell/src/orders/desk.rs
+++ b/crates/control-cell/src/orders/desk.rs
@@ -52,12 +52,6 @@
     Restored,
 }
 
-/// Whether a cell leads and its state holds all that was agreed on in earlier terms: an entry of its own
-/// term is applied. Before that a leader answers nothing from its state and starts no duty.
-pub fn leads_with_current_state(node: &ConsensusNode) -> bool {
-    node.leads() && node.log.term_at(node.applied) == Some(node.hard.term)
-}
-
 /// Something that was agreed on can't be read here.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("what was agreed on up to index {index} can't be read: of another version?"))]
--- a/crates/control-cell/src/orders/mod.rs
+++ b/crates/control-cell/src/orders/mod.rs
@@ -3,4 +3,4 @@
 mod desk;
 mod pending;
 
-pub use desk::{leads_with_current_state, ChangedPart, DeskEvent, OrderDesk, UnreadableState};
+pub use desk::{ChangedPart, DeskEvent, OrderDesk, UnreadableState};
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -5,9 +5,7 @@
     StoreObservation,
 };
 pub use crate::feed::{FeedBook, FollowFrom, OpenedFeed, Wants, KEPT, KEPT_BYTES};
-pub use crate::orders::{
-    leads_with_current_state, ChangedPart, DeskEvent, OrderDesk, UnreadableState,
-};
+pub use crate::orders::{ChangedPart, DeskEvent, OrderDesk, UnreadableState};
 pub use crate::state::{order_digest, CellState, ConfirmedOrders};
 pub use agreement::prelude::{
     AgreementDisk, ConsensusNode, Effect, Event, HardState, SnapshotWrite, Tuning,
--- a/crates/control-cell/tests/history_model/world.rs
+++ b/crates/control-cell/tests/history_model/world.rs
@@ -49,10 +49,10 @@
     fn at(&mut self, id: u64, act: impl FnOnce(&mut Cell, Duration)) {
         let now = self.now;
         let cell = self.cells.get_mut(&id).unwrap();
-        let was_current = leads_with_current_state(&cell.node);
+        let was_current = cell.node.ready_to_serve(now);
         act(cell, now);
         self.flight.append(&mut cell.out);
-        if !was_current && leads_with_current_state(&cell.node) {
+        if !was_current && cell.node.ready_to_serve(now) {
             self.check_new_leader(id);
         }
     }
