--- a/crates/inner-protocol/src/patch/mod.rs
+++ b/crates/inner-protocol/src/patch/mod.rs
@@ -1,8 +1,5 @@
 //! The difference between two texts of many records, such as a configuration's routes: what the new one
 //! takes over from the old is named by its place, the rest is carried along.
-#[cfg(test)]
-mod tests;
-
 use crate::prelude::*;
 
 /// A piece of the new text.
