--- a/crates/operator-config/src/check/mod.rs
+++ b/crates/operator-config/src/check/mod.rs
@@ -1,7 +1,5 @@
 //! Checks a configuration field by field and lists every fault with its place.
 mod fields;
-#[cfg(test)]
-mod tests;
 
 use crate::prelude::*;
 use fields::Reader;
--- a/crates/operator-config/src/check/tests.rs
+++ b/crates/operator-config/tests/check.rs
@@ -1,4 +1,4 @@
-use crate::prelude::*;
+use operator_config::prelude::*;
 
 pub fn good() -> Value {
     serde_json::json!({
