--- a/crates/session-index/src/evidence/mod.rs
+++ b/crates/session-index/src/evidence/mod.rs
@@ -9,8 +9,6 @@
 mod pool;
 mod row;
 mod standing;
-#[cfg(test)]
-mod tests;
 
 pub use budget::RetryBudget;
 pub use decay::DecayingCount;
--- a/crates/session-index/src/evidence/tests.rs
+++ b/crates/session-index/tests/evidence.rs
@@ -1,7 +1,7 @@
 //! Recorded traces and generated schedules. A trace row is a run of sends: from, to and every (ms),
 //! engines, what they met, and how long it took.
-use crate::prelude::*;
 use arbtest::arbtest;
+use session_index::prelude::*;
 
 const SERVICE: &str = "s";
 
