--- a/crates/node-base/src/links/caller.rs
+++ b/crates/node-base/src/links/caller.rs
@@ -96,21 +96,12 @@
         self.quick.call(body, within).await
     }
 
-    /// Calls over the connection for bulk: snapshots, large batches of entries.
-    pub async fn call_bulk<Q: Serialize, R: for<'a> Deserialize<'a>>(
-        &self,
-        q: &Q,
-        within: Duration,
-    ) -> LinkResult<R> {
-        self.bulk_lane().call(encode(q), within).await
-    }
-
     /// Sends without waiting for an answer; lost when the peer is away.
     pub fn tell<Q: Serialize>(&self, q: &Q) {
         let _ = self.quick.tell(encode(q), TELL_LIFE);
     }
 
-    /// The same over the connection for bulk. Says when it was refused at once, because too much
+    /// The same over the connection for bulk: snapshots, large batches of entries. Says when it was refused at once, because too much
     /// waits already.
     pub fn tell_bulk<Q: Serialize>(&self, q: &Q) -> LinkResult<()> {
         self.bulk_lane().tell(encode(q), BULK_TELL_LIFE)
