--- a/crates/request-proxy/src/app/mod.rs
+++ b/crates/request-proxy/src/app/mod.rs
@@ -27,7 +27,7 @@
 }
 
 /// The proxy's whole state, passed down by reference. Lock order: `live`, `life`, `sched`, `tickets`,
-/// the pool's, the bank's, the trial's, `admission`; none is held over a wait.
+/// the pool's, the bank's, the trial's, `admission`, the accounts'; none is held over a wait.
 pub struct App {
     /// The settings of this process.
     pub settings: SharedSettings,
@@ -47,8 +47,8 @@
     pub bank: Arc<TurnBank>,
     /// The routing trial, as far as this node has a part in it.
     pub trial: TrialDesk,
-    /// One clone is held by each request whose answer isn't written whole.
-    pub in_flight: Arc<()>,
+    /// How many requests were read, and how each ended.
+    pub accounts: RequestAccounts,
     /// Which work may begin, once the proxy is leaving.
     pub admission: Mutex<Admission>,
 }
@@ -75,7 +75,7 @@
             pool: Pool::new(),
             bank: Arc::new(TurnBank::new(&shared, cache_bytes)),
             trial: TrialDesk::new(&settings.node_name),
-            in_flight: Arc::new(()),
+            accounts: RequestAccounts::default(),
             admission: Mutex::new(Admission::default()),
             settings: shared,
         })
@@ -139,7 +139,7 @@
 
     /// Nothing is under way, and nothing that may still come would be admitted.
     pub fn drained(&self) -> bool {
-        locked(&self.admission).takes_no_more(self.now()) && Arc::strong_count(&self.in_flight) == 1
+        locked(&self.admission).takes_no_more(self.now()) && self.accounts.in_flight() == 0
     }
 
     /// Waits until the life has ended.
--- a/crates/request-proxy/src/door/answers.rs
+++ b/crates/request-proxy/src/door/answers.rs
@@ -1,5 +1,6 @@
 //! The proxy's own answers. A 503 here is a promise: the request hasn't run and never will.
 use crate::prelude::*;
+use crate::relay::StreamBreak;
 use hyper::body::{Body, Frame, SizeHint};
 
 /// What an answer's body is: known whole, or relayed as it comes.
@@ -10,9 +11,13 @@
     Relay(Box<RelayBody>),
 }
 
+/// The answer had begun and can't be completed.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer broke off"))]
-pub struct BrokenOff;
+#[snafu(display("the answer broke off: {cause}"))]
+pub struct BrokenOff {
+    /// What broke it off.
+    pub cause: StreamBreak,
+}
 
 impl Body for ProxyBody {
     type Data = Bytes;
@@ -28,7 +33,7 @@
                 Poll::Pending => Poll::Pending,
                 Poll::Ready(None) => Poll::Ready(None),
                 Poll::Ready(Some(Ok(b))) => Poll::Ready(Some(Ok(Frame::data(b)))),
-                Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(BrokenOff))),
+                Poll::Ready(Some(Err(cause))) => Poll::Ready(Some(Err(BrokenOff { cause }))),
             },
         }
     }
@@ -71,6 +76,17 @@
     Late,
 }
 
+impl From<StreamBreak> for OwnAnswer {
+    fn from(cause: StreamBreak) -> Self {
+        match cause {
+            StreamBreak::EngineBrokeOff => OwnAnswer::Lost("the engine broke off"),
+            StreamBreak::EngineSpoiled => OwnAnswer::Lost("the engine's answer is spoiled"),
+            StreamBreak::TurnNotKept => OwnAnswer::Lost("too few stores kept the turn"),
+            StreamBreak::TimeOver => OwnAnswer::Late,
+        }
+    }
+}
+
 impl OwnAnswer {
     /// A refusal, with the time after which to come back.
     pub fn refused(ms: u64, why: &'static str) -> Self {
--- a/crates/request-proxy/src/door/idle.rs
+++ b/crates/request-proxy/src/door/idle.rs
@@ -1,99 +1,85 @@
-//! How long a client's connection rests. The time in force may change while it does.
+//! How long a client's connection may rest. The time in force may change while it does.
 //!
 //! hyper fixes its own time-out for heads when a connection begins, so this one is kept beside it.
 use crate::app::locked;
 use crate::prelude::*;
-use hyper::body::{Body, Frame, SizeHint};
 
-/// Invariants: `busy` counts requests taken whose answers aren't written whole; a rest begins when it
-/// falls to zero; `promised` is the longest idle time in force since that rest began.
+/// Invariants: `open_requests` counts requests taken whose answers hyper hasn't taken whole; a rest begins
+/// when it falls to zero; `promised` is the longest idle time in force since that rest began.
 #[derive(Debug)]
-struct Rest {
-    busy: u32,
+struct IdleState {
+    open_requests: u32,
     since: Instant,
     promised: Duration,
+    /// The last answer was given before its request's body had been read whole.
+    is_body_unread: bool,
 }
 
 /// What is known of a connection's rest, shared with its requests.
 #[derive(Debug, Clone)]
-pub struct RestWatch(Arc<Mutex<Rest>>);
+pub struct IdleTracker(Arc<Mutex<IdleState>>);
 
-impl RestWatch {
-    /// A connection that has just been taken, under this idle time.
+impl IdleTracker {
+    /// A connection that has just been accepted, under this idle time.
     pub fn new(idle_time: Duration) -> Self {
-        RestWatch(Arc::new(Mutex::new(Rest {
-            busy: 0,
+        IdleTracker(Arc::new(Mutex::new(IdleState {
+            open_requests: 0,
             since: Instant::now(),
             promised: idle_time,
+            is_body_unread: false,
         })))
     }
 
     /// A request begins; the rest ends.
-    pub fn begin(&self, idle_time: Duration) -> Busy {
-        let mut rest = locked(&self.0);
-        rest.busy += 1;
-        rest.promised = idle_time;
-        Busy(self.clone())
+    pub fn begin_request(&self, idle_time: Duration) -> OpenRequest {
+        let mut state = locked(&self.0);
+        state.open_requests += 1;
+        state.promised = idle_time;
+        OpenRequest(self.clone())
     }
 
-    /// When the rest is over, under the idle time in force; none while a request is under way. A longer
-    /// time holds at once; a shorter one from the next request on, as clients may not know of it yet.
-    pub fn until(&self, idle_time: Duration) -> Option<Instant> {
-        let mut rest = locked(&self.0);
-        if rest.busy > 0 {
-            return None;
-        }
-        rest.promised = rest.promised.max(idle_time);
-        Some(rest.since + rest.promised)
+    /// Whether no request is open.
+    pub fn is_idle(&self) -> bool {
+        locked(&self.0).open_requests == 0
     }
-}
-
-/// A request under way on a connection, until its answer is written or given up.
-#[derive(Debug)]
-pub struct Busy(RestWatch);
 
-impl Drop for Busy {
-    fn drop(&mut self) {
-        let mut rest = locked(&self.0 .0);
-        rest.busy -= 1;
-        rest.since = Instant::now();
+    /// Whether the last request was answered before its body had been read whole.
+    pub fn is_body_unread(&self) -> bool {
+        locked(&self.0).is_body_unread
     }
-}
 
-/// An answer's body, which keeps its connection busy.
-pub struct BusyBody {
-    body: ProxyBody,
-    _busy: Busy,
-    _in_flight: Arc<()>,
-}
+    /// How long the connection has rested.
+    pub fn rested_for(&self) -> Duration {
+        locked(&self.0).since.elapsed()
+    }
 
-impl BusyBody {
-    /// The same answer, holding the request that it ends.
-    pub fn around(
-        answer: Response<ProxyBody>,
-        busy: Busy,
-        in_flight: Arc<()>,
-    ) -> Response<BusyBody> {
-        answer.map(|body| BusyBody { body, _busy: busy, _in_flight: in_flight })
+    /// When the rest is over, under the idle time in force; none while a request is open. A longer time
+    /// holds at once; a shorter one from the next request on, as clients may not know of it yet.
+    pub fn expires_at(&self, idle_time: Duration) -> Option<Instant> {
+        let mut state = locked(&self.0);
+        if state.open_requests > 0 {
+            return None;
+        }
+        state.promised = state.promised.max(idle_time);
+        Some(state.since + state.promised)
     }
 }
 
-impl Body for BusyBody {
-    type Data = Bytes;
-    type Error = <ProxyBody as Body>::Error;
-
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
-        Pin::new(&mut self.body).poll_frame(cx)
-    }
+/// A request under way on a connection, until hyper has its answer or it is given up.
+#[derive(Debug)]
+pub struct OpenRequest(IdleTracker);
 
-    fn is_end_stream(&self) -> bool {
-        self.body.is_end_stream()
+impl OpenRequest {
+    /// It has its answer; whether its body had been read whole by then.
+    pub fn answered(&self, is_body_read: bool) {
+        locked(&self.0 .0).is_body_unread = !is_body_read;
     }
+}
 
-    fn size_hint(&self) -> SizeHint {
-        self.body.size_hint()
+impl Drop for OpenRequest {
+    fn drop(&mut self) {
+        let mut state = locked(&self.0 .0);
+        state.open_requests -= 1;
+        state.since = Instant::now();
     }
 }
--- a/crates/request-proxy/src/flow/mod.rs
+++ b/crates/request-proxy/src/flow/mod.rs
@@ -29,10 +29,14 @@
     pub began: Instant,
     /// When its time is over.
     pub until: Instant,
+    /// When its stream is cut if it still runs.
+    pub cut_at: Instant,
     /// When its body had been read.
     pub arrived: Instant,
     /// What its time depends on.
     pub size: WorkSize,
+    /// Its account.
+    pub tracked: &'a TrackedRequest,
     /// When it was first passed to an engine.
     pub first_sent: OnceLock<Instant>,
     /// The turn's place in a routing trial, once its session is known.
@@ -71,7 +75,12 @@
             RouteKind::Streaming => latest_close(self.until, self.began + self.route.timeout),
             _ => self.until,
         };
-        let work = Work { size: self.size, stage, over: self.app.since_start(over) };
+        let work = Work {
+            size: self.size,
+            stage,
+            arrived: self.app.since_start(self.arrived),
+            over: self.app.since_start(over),
+        };
         match locked(&self.app.admission).decide(&work, self.app.now()) {
             Verdict::Admit => Ok(()),
             Verdict::Refuse { retry_after } => {
@@ -83,6 +92,7 @@
     /// Asked just before an engine is reached: whatever it waited for, its time here may have run out.
     pub fn pass_on(&self) -> Result<(), OwnAnswer> {
         self.may_begin(WorkStage::Placed)?;
+        self.tracked.mark_forwarded();
         if self.first_sent.set(Instant::now()).is_ok() {
             locked(&self.app.admission).history.waited(self.size, self.arrived.elapsed());
         }
@@ -114,14 +124,25 @@
 /// Kept of the client's time for the answer's return.
 const RETURN_TIME: Duration = Duration::from_millis(15);
 
+/// A stream is cut so long after its client's deadline or its route's timeout, so that it isn't this proxy
+/// that ends it early by its own clock.
+const CUT_MARGIN: Duration = Duration::from_millis(20);
+
 /// A request that comes while the proxy starts waits for the snapshot, which is a matter of moments.
 const START_WAIT: Duration = Duration::from_millis(1500);
 
 /// Takes a request through all its stages.
-pub async fn serve(app: &Arc<App>, req: Request<Incoming>) -> Response<ProxyBody> {
+pub async fn serve(
+    app: &Arc<App>,
+    req: Request<Incoming>,
+    tracked: &TrackedRequest,
+) -> Response<ProxyBody> {
     let began = Instant::now();
     let (parts, body) = req.into_parts();
     let parts = Arc::new(parts);
+    if hyper::body::Body::is_end_stream(&body) {
+        tracked.mark_read();
+    }
     let id = parts.headers.get(names::REQUEST_ID).and_then(|v| v.to_str().ok());
     if !app.life().admits() && !app.admitted(began + START_WAIT).await {
         return OwnAnswer::refused(300, "not ready yet").into_response(id);
@@ -139,6 +160,8 @@
     let time =
         head.deadline.map_or(route.timeout, |b| b.saturating_sub(RETURN_TIME).min(route.timeout));
     let until = began + time;
+    let allowed = head.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
+    let cut_at = began + allowed + CUT_MARGIN;
     let body = tokio::select! {
         biased;
         read = read_body(body, live.body_bytes, until) => read,
@@ -148,6 +171,7 @@
         Ok(b) => b,
         Err(a) => return a.into_response(id),
     };
+    tracked.mark_read();
     let service: Arc<str> = route.choose_service(fastrand::f64()).into();
     let job = Job {
         app,
@@ -158,11 +182,13 @@
         head: &head,
         began,
         until,
+        cut_at,
         arrived: Instant::now(),
         size: WorkSize {
             route: fnv64(route.name.as_bytes()),
             most_out: head.tokens.map_or(0, |(_, most_out)| most_out),
         },
+        tracked,
         first_sent: OnceLock::new(),
         placement: OnceLock::new(),
     };
--- a/crates/request-proxy/src/flow/turn.rs
+++ b/crates/request-proxy/src/flow/turn.rs
@@ -263,6 +263,7 @@
                     size: job.size,
                     gap_aim: job.route.gap_aim,
                     until: job.until,
+                    cut_at: job.cut_at,
                     route_until: job.began + job.route.timeout,
                     alone,
                     request_id: id.to_string(),
@@ -270,9 +271,12 @@
                     // From here on the relay holds it.
                     claim: attempt.claim.take(),
                     keep_alive: ka,
-                    placement,
+                    placement: None,
                 };
-                *r.body_mut() = ProxyBody::Relay(Box::new(RelayBody::new(inner, lease, end)));
+                let mut relay = Box::new(RelayBody::new(inner, lease, end));
+                relay.read_first_event().await?;
+                relay.place_in_trial(placement);
+                *r.body_mut() = ProxyBody::Relay(relay);
                 return Ok(r);
             }
             SendOutcome::NotRun { reached, elsewhere } => {
--- a/crates/request-proxy/src/life/admission.rs
+++ b/crates/request-proxy/src/life/admission.rs
@@ -1,8 +1,9 @@
 //! Which work a proxy takes: all of it while it serves, and while it drains what is expected to end before
 //! the process does. Pure: times count from the process's start.
 //!
-//! Invariant: work that takes no longer than the longest of late, by a quarter more, or whose own time is
-//! over before, ends within the drain if it was admitted.
+//! Invariants: work that arrived after `DrainClock::estimates_until` is admitted only if its own time is over
+//! before the drain ends, so that it is never cut; earlier work is cut only if it takes longer than the
+//! longest of late by over a quarter, and then at the very end of the grace, which RULES (LOST) excuses.
 use super::drain::{Cohort, DrainClock};
 use super::work::{WorkHistory, WorkSize};
 use crate::prelude::*;
@@ -23,6 +24,8 @@
     pub size: WorkSize,
     /// How far it has come.
     pub stage: WorkStage,
+    /// When it was read whole.
+    pub arrived: Duration,
     /// When its own time is over: by then it has been answered or given up, whatever it takes.
     pub over: Duration,
 }
@@ -76,7 +79,8 @@
         let Some(drain) = self.drain else {
             return Verdict::Admit;
         };
-        let ends = match self.expected(work) {
+        let may_estimate = work.arrived < drain.clock.estimates_until();
+        let ends = match self.expected(work).filter(|_| may_estimate) {
             Some(takes) => work.over.min(now + takes),
             None => work.over,
         };
--- a/crates/request-proxy/src/life/drain.rs
+++ b/crates/request-proxy/src/life/drain.rs
@@ -10,6 +10,12 @@
 /// settled last goes out. SIGKILL comes when the grace is over.
 const RESERVE_PART: u32 = 16;
 
+/// RULES (LOST) excuse a cut at the end of the grace, while the engine is still at work, for requests that
+/// were sent no later than this after the SIGTERM.
+const EXCUSED_ARRIVALS: Duration = Duration::from_secs(3);
+/// What the signal and a request take on their way, both at a machine that is busy.
+const ARRIVAL_MARGIN: Duration = Duration::from_millis(250);
+
 /// The connection that a client opens next goes to another machine.
 const TRY_ANOTHER: Duration = Duration::from_millis(100);
 
@@ -61,6 +67,12 @@
         }
     }
 
+    /// For work that arrives before this an estimate of its time counts; later work is bounded by its own
+    /// deadline alone.
+    pub fn estimates_until(&self) -> Duration {
+        self.began + (EXCUSED_ARRIVALS - ARRIVAL_MARGIN)
+    }
+
     /// When a client that is refused now may come again: where machines leave one at a time its next
     /// connection goes to another one, and where all leave at once, as likely to one of the other cohort
     /// as to this one. The second is refusing when the first comes back, which takes a while.
--- a/crates/request-proxy/src/life/mod.rs
+++ b/crates/request-proxy/src/life/mod.rs
@@ -46,5 +46,6 @@
     }
     app.bank.release_all();
     app.tell_outcomes();
+    app.accounts.log_totals();
     tokio::time::sleep(LAST_MESSAGES.min(grace / 64)).await;
 }
--- a/crates/request-proxy/src/prelude.rs
+++ b/crates/request-proxy/src/prelude.rs
@@ -1,11 +1,14 @@
 //! The one module every file of this package imports.
 pub use crate::app::{App, Live, TrialDesk, TrialPlacement};
-pub use crate::door::{Head, HeadFault, OwnAnswer, ProxyBody};
+pub use crate::door::{
+    Head, HeadFault, OwnAnswer, ProxyBody, RequestAccounts, RequestTotals, TrackedRequest,
+    UnansweredCause,
+};
 pub use crate::life::{
     Admission, Cohort, DrainClock, Life, LifeEvent, LifeState, Verdict, Work, WorkHistory,
     WorkSize, WorkStage,
 };
-pub use crate::relay::{EventFault, EventReader, RelayBody};
+pub use crate::relay::{EventFault, EventReader, RelayBody, StreamBreak};
 pub use crate::sending::{Lease, Pool, SendOutcome};
 pub use crate::turns::{
     ChainCache, Claim, ClaimAsk, OpenAsk, OpenFault, OpenLedger, OpenStep, Opened, TurnBank,
--- a/crates/request-proxy/src/relay/body.rs
+++ b/crates/request-proxy/src/relay/body.rs
@@ -26,6 +26,8 @@
     pub gap_aim: Duration,
     /// When its time is over.
     pub until: Instant,
+    /// When it is cut if it still runs: not before its client's deadline or its route's timeout.
+    pub cut_at: Instant,
     /// When the time that its route gives it is over: never before `until`.
     pub route_until: Instant,
     /// Few others ran at its engine from here.
@@ -42,6 +44,23 @@
     pub placement: Option<TrialPlacement>,
 }
 
+/// Why a stream that its engine had begun isn't relayed to its end.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Snafu)]
+pub enum StreamBreak {
+    /// The engine broke off.
+    #[snafu(display("the engine broke its stream off"))]
+    EngineBrokeOff,
+    /// The engine sent what is no proper series of events.
+    #[snafu(display("the engine's stream is spoiled"))]
+    EngineSpoiled,
+    /// The client's deadline or the route's timeout is over.
+    #[snafu(display("the stream's time is over"))]
+    TimeOver,
+    /// All events were passed on, but too few stores kept the turn in time.
+    #[snafu(display("too few stores kept the turn"))]
+    TurnNotKept,
+}
+
 type Closing = Pin<Box<dyn Future<Output = bool> + Send>>;
 
 enum Stage {
@@ -62,6 +81,8 @@
     granted: bool,
     pauses: Pauses,
     first_at: Option<Instant>,
+    /// Events that were read before the answer's head went out.
+    read_ahead: Option<Bytes>,
 }
 
 /// When events came: the first, the last, and the longest pause between two.
@@ -101,7 +122,7 @@
 impl RelayBody {
     /// A stream that begins now.
     pub fn new(inner: Incoming, lease: Lease, end: StreamEnd) -> Self {
-        let timer = Box::pin(tokio::time::sleep_until(end.until.into()));
+        let timer = Box::pin(tokio::time::sleep_until(end.cut_at.into()));
         RelayBody {
             inner: Some(inner),
             lease: Some(lease),
@@ -113,11 +134,28 @@
             granted: true,
             pauses: Pauses::default(),
             first_at: None,
+            read_ahead: None,
         }
     }
 
+    /// Waits for the first events, which are relayed once the answer's head has gone out. A stream that
+    /// breaks off before them can still be answered as a whole, by an answer of the proxy's own.
+    pub async fn read_first_event(&mut self) -> Result<(), StreamBreak> {
+        let first = std::future::poll_fn(|cx| self.poll_next(cx)).await;
+        self.read_ahead = first.transpose()?;
+        Ok(())
+    }
+
+    /// From here on the turn counts in a routing trial by its stream's end.
+    pub fn place_in_trial(&mut self, placement: Option<TrialPlacement>) {
+        self.end.placement = placement;
+    }
+
     /// The next whole events, the end, or a break.
-    pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, ()>>> {
+    pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamBreak>>> {
+        if let Some(events) = self.read_ahead.take() {
+            return Poll::Ready(Some(Ok(events)));
+        }
         loop {
             match &mut self.stage {
                 Stage::Over => return Poll::Ready(None),
@@ -130,8 +168,7 @@
                         if kept {
                             return Poll::Ready(None);
                         }
-                        warn!("turn not kept", kv: { request = self.end.request_id });
-                        return Poll::Ready(Some(Err(())));
+                        return Poll::Ready(Some(Err(StreamBreak::TurnNotKept)));
                     }
                 },
                 Stage::Relaying => {}
@@ -151,20 +188,20 @@
                         Ok(None) => {}
                         Err(e) => {
                             debug!("{:?} in stream {}", e, self.end.request_id);
-                            return self.broke_off(Some(FailureKind::Spoiled));
+                            return self.broke_off(StreamBreak::EngineSpoiled);
                         }
                     }
                 }
-                Poll::Ready(Some(Err(_))) => return self.broke_off(Some(FailureKind::Reset)),
+                Poll::Ready(Some(Err(_))) => return self.broke_off(StreamBreak::EngineBrokeOff),
                 Poll::Ready(None) => {
                     if !self.reader.whole() || self.reader.events == 0 {
-                        return self.broke_off(Some(FailureKind::Reset));
+                        return self.broke_off(StreamBreak::EngineBrokeOff);
                     }
                     self.finish();
                 }
                 Poll::Pending => {
                     if self.timer.as_mut().poll(cx).is_ready() {
-                        return self.broke_off(None);
+                        return self.broke_off(StreamBreak::TimeOver);
                     }
                     return Poll::Pending;
                 }
@@ -196,9 +233,13 @@
         }
     }
 
-    /// `kind` is what the engine did; none when the stream's time is over.
-    fn broke_off(&mut self, kind: Option<FailureKind>) -> Poll<Option<Result<Bytes, ()>>> {
-        match kind {
+    fn broke_off(&mut self, cause: StreamBreak) -> Poll<Option<Result<Bytes, StreamBreak>>> {
+        let failure = match cause {
+            StreamBreak::EngineBrokeOff => Some(FailureKind::Reset),
+            StreamBreak::EngineSpoiled => Some(FailureKind::Spoiled),
+            StreamBreak::TimeOver | StreamBreak::TurnNotKept => None,
+        };
+        match failure {
             Some(kind) => {
                 self.inner = None;
                 let app = &self.end.app;
@@ -206,11 +247,10 @@
             }
             None => self.took(),
         }
-        info!("stream broke off", kv: { request = self.end.request_id, events = self.reader.events });
         self.came_to(false);
         self.drop_all();
         self.stage = Stage::Over;
-        Poll::Ready(Some(Err(())))
+        Poll::Ready(Some(Err(cause)))
     }
 
     /// Takes note of how long the stream took until it was whole, or its time over.
--- a/crates/request-proxy/src/relay/mod.rs
+++ b/crates/request-proxy/src/relay/mod.rs
@@ -3,5 +3,5 @@
 mod body;
 mod events;
 
-pub use body::{latest_close, RelayBody, StreamEnd};
+pub use body::{latest_close, RelayBody, StreamBreak, StreamEnd};
 pub use events::{EventFault, EventReader};
