--- a/crates/control-cell/src/duties/stores.rs
+++ b/crates/control-cell/src/duties/stores.rs
@@ -113,8 +113,15 @@
     /// Takes in a store that the set doesn't have.
     fn taken_in(&self, newcomer: &StoreObservation) -> Option<StoreSet> {
         let (set, status) = (self.set, &newcomer.status);
-        let known = set.find(status.id).is_some() || set.superseded.contains(&status.id);
-        if known || status.ending {
+        if set.find(status.id).is_some() {
+            return None;
+        }
+        let needed = set.needs_back(status.id);
+        let superseded = set.superseded.contains(&status.id);
+        if needed && (superseded || status.ending || set.retirement(&status.name).is_some()) {
+            return Some(self.taken_back(status));
+        }
+        if superseded || status.ending {
             return None;
         }
         if set.retirement(&status.name).is_some() {
@@ -127,14 +134,23 @@
             let drains = old.addr != status.addr && self.is_at_work(old.id);
             return Some(self.succeeded(old, status, drains));
         }
-        let returns = set.placements.iter().any(|p| p.has(status.id)) && set.lacks_proof();
-        if !(returns || self.replaces_nobody(newcomer) && self.all_caught_up()) {
+        if !(needed || self.replaces_nobody(newcomer) && self.all_caught_up()) {
             return None;
         }
         let rank = set.free_rank(&status.name);
         Some(self.step(|n| n.stores.push(entry(status, n.version, rank))))
     }
 
+    /// A store that is not to be placed again has what the others can't prove: it transfers what it holds, as
+    /// in a retirement, and goes again once they have it.
+    fn taken_back(&self, status: &StoreStatus) -> StoreSet {
+        let rank = self.set.free_rank(&status.name);
+        self.step(|n| {
+            let state = StoreState::Leaving;
+            n.stores.push(StoreEntry { state, ..entry(status, n.version, rank) });
+        })
+    }
+
     /// Every store of the set is at work and reported after this one's first report had come: none is
     /// the one that it replaces. One that this leader hasn't heard of yet may be.
     fn replaces_nobody(&self, newcomer: &StoreObservation) -> bool {
--- a/crates/stand-ins/tests/store_schedules/main.rs
+++ b/crates/stand-ins/tests/store_schedules/main.rs
@@ -61,3 +61,24 @@
 fn nothing_acknowledged_is_lost_where_three_are() {
     play(3, &[(9, 12), (10, 10), (15, 2)]);
 }
+
+/// Absences overlap beyond what is tolerated, for longer than the leader waits, right after planned steps; no
+/// more disks are lost than is tolerated. Service returns by itself, with all that was acknowledged.
+#[test]
+fn nothing_acknowledged_is_lost_where_absences_overlap_beyond_tolerance() {
+    for (n, tolerated, schedules) in [(3, 1, 60), (4, 1, 120), (6, 1, 30), (5, 2, 60), (9, 2, 8)] {
+        for seed in 0..schedules {
+            arbtest::arbtest(|u| {
+                let zones = u.int_in_range(1..=4u64)?;
+                let catch_up = ms(*u.choose(&CATCH_UP)?);
+                let mut w = World::new(n, zones, tolerated, catch_up, u.arbitrary()?);
+                for _ in 0..u.int_in_range(2..=6)? {
+                    w.planned_then_overlap(u, n as usize)?;
+                }
+                w.heals();
+                Ok(())
+            })
+            .seed((seed * 37 + n * 11 + u64::from(tolerated)) << 32 | 8192);
+        }
+    }
+}
--- a/crates/stand-ins/tests/store_schedules/troubles.rs
+++ b/crates/stand-ins/tests/store_schedules/troubles.rs
@@ -16,6 +16,12 @@
             return false;
         }
         self.losses.begins(store, now);
+        self.goes_away(store, reach, wait, wiped);
+        true
+    }
+
+    /// The same, whether it may be lost or not.
+    fn goes_away(&mut self, store: usize, reach: Reach, wait: Duration, wiped: bool) {
         let (name, id) = (&self.stores[store].name, self.stores[store].id);
         self.note(format!("{name} ({id}) is lost: {reach:?} for {wait:?}, wiped {wiped}"));
         if wiped {
@@ -35,7 +41,36 @@
         let trouble = s.trouble;
         self.clock.after(wait, Event::Returns { store, trouble });
         self.check_margin();
-        true
+    }
+
+    /// Several machines are away at once, more perhaps than is tolerated, each for its time, and no more
+    /// disks are lost meanwhile than that allows; at times all have lost power, the cells as well. Service
+    /// may rest until all are back.
+    pub fn absences_overlap(&mut self, away: &[(usize, Reach, Duration)], leader_too: bool) {
+        let longest = away.iter().map(|(_, _, wait)| *wait).max().unwrap_or_default();
+        let now = self.clock.now;
+        let until = self.losses.overlaps(now, now + longest);
+        self.note(format!("absences overlap until {:.3}", until.as_secs_f64()));
+        self.clock.at(until, Event::LossOver);
+        for (store, reach, wait) in away {
+            if !self.stores[*store].gone {
+                self.goes_away(*store, *reach, *wait, false);
+            }
+        }
+        if leader_too {
+            self.changes_leader(ELECTION, LINK_AGAIN);
+        }
+    }
+
+    /// A disk is lost while absences overlap.
+    pub fn loses_disk_meanwhile(&mut self, store: usize) {
+        if self.stores[store].gone || !self.losses.is_overlapping(self.clock.now) {
+            return;
+        }
+        if self.losses.takes_disk(store) {
+            let wait = self.delay(RESTART.0, RESTART.1);
+            self.goes_away(store, Reach::Down, wait, true);
+        }
     }
 
     pub fn loses_disk(&mut self, store: usize) -> bool {
--- a/crates/turn-store/src/actor/work.rs
+++ b/crates/turn-store/src/actor/work.rs
@@ -326,13 +326,8 @@
         self.due.send_modify(|n| *n += 1);
     }
 
-    /// A store that is to stop may once the set is without it, or can't be without it.
     fn release(&mut self) {
-        let set = &self.tables.history.set;
-        let spared = set.placed() > set.group_size();
-        let entry = set.find(self.ident.id);
-        let leaves = entry.is_some_and(|e| spared || e.state == StoreState::Leaving);
-        if self.ending && !leaves {
+        if self.ending && self.tables.history.may_stop() {
             self.released.send_replace(true);
         }
     }
--- a/crates/turn-store/src/history/mod.rs
+++ b/crates/turn-store/src/history/mod.rs
@@ -114,6 +114,16 @@
         self.set.stores.iter().filter(lacks).cloned().collect()
     }
 
+    /// Whether this store, which was told to stop, may: the set is without it and nothing depends on its disk,
+    /// or it can't be spared, so that waiting wouldn't help.
+    pub fn may_stop(&self) -> bool {
+        let can_be_spared = self.set.placed() > self.set.group_size();
+        match self.set.find(self.me) {
+            Some(entry) => !can_be_spared && entry.state == StoreState::Placed,
+            None => !self.set.may_depend_on(self.me),
+        }
+    }
+
     /// Whether a store keeps a program, or kept it under a placement that history may depend on: by what
     /// it is given of these it can vouch for all those placements as well.
     pub fn keeps(&self, store: u64, key: u64) -> bool {
