--- a/crates/agreement/tests/model/mod.rs
+++ b/crates/agreement/tests/model/mod.rs
@@ -73,6 +73,7 @@
         addr: format!("a{id}"),
         zone: format!("z{id}"),
         incarnation: 0,
+        loss_counted: true,
     }
 }
 
--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -53,6 +53,7 @@
         addr: addr.to_string(),
         zone: String::new(),
         incarnation: 0,
+        loss_counted: true,
     }
 }
 
@@ -97,6 +98,7 @@
             addr: own,
             zone: settings.zone.clone(),
             incarnation: 0,
+            loss_counted: settings.loss_counted,
         };
         let state = read_state(&dir, &log.snap)?;
         let seed = fastrand::u64(..);
@@ -227,7 +229,7 @@
     pub fn knows_me(&self) -> bool {
         let me = &self.me;
         let entry = self.members.iter().find(|m| m.id == me.id);
-        entry.is_some_and(|m| (&m.name, &m.addr, &m.zone) == (&me.name, &me.addr, &me.zone))
+        entry.is_some_and(|m| Member { incarnation: me.incarnation, ..m.clone() } == *me)
     }
 
     pub fn member_addr(&self, id: u64) -> Option<String> {
--- a/crates/control-cell/src/actor/leaving.rs
+++ b/crates/control-cell/src/actor/leaving.rs
@@ -27,14 +27,20 @@
         });
     }
 
-    /// A leader that ends hands its lead over once nothing else is due, to one that stays. False when
-    /// the disk failed.
+    /// A leader that ends, or whose loss doesn't count while another voter's does, hands its lead over once
+    /// nothing else is due, to one that stays. False when the disk failed.
     pub(super) fn hand_over(&mut self) -> bool {
         let node = &self.driver.node;
-        if self.ending.is_none() || node.commit < node.log.last() {
+        let membership = node.log.membership();
+        let gives_way = !self.driver.me.loss_counted && membership.has_counted_voter();
+        if !(gives_way || self.ending.is_some()) || node.commit < node.log.last() {
             return true;
         }
-        let leaving = self.members.leaving();
+        let mut leaving = self.members.leaving();
+        if gives_way {
+            let uncounted = membership.voters.iter().filter(|m| !m.loss_counted);
+            leaving.extend(uncounted.map(|m| m.id));
+        }
         self.agree_on(Event::HandOver { leaving })
     }
 
--- a/crates/control-cell/src/duties/members.rs
+++ b/crates/control-cell/src/duties/members.rs
@@ -2,7 +2,8 @@
 //!
 //! Voters are the greatest odd number of the core's machines, so that any connected majority of the core
 //! holds a majority of the voters; the machine left over is a standby. `docs/consensus.md` weighs this
-//! against `2T + 1` voters.
+//! against `2T + 1` voters. Only machines whose loss counts vote, as far as there are enough: any number of
+//! others may go.
 use crate::prelude::*;
 use node_base::settings::Tolerated;
 
@@ -121,7 +122,14 @@
 
     /// A standby that may vote from now on.
     fn ready(&self, m: &Member) -> bool {
-        (self.observe)(m.id).caught_up && !self.silent(m, self.bounds.replace_after)
+        let in_touch = !self.silent(m, self.bounds.replace_after);
+        self.may_vote(m) && (self.observe)(m.id).caught_up && in_touch
+    }
+
+    /// A machine whose loss doesn't count votes only where there is none whose loss does. A leader stays a
+    /// voter until it has handed over.
+    fn may_vote(&self, m: &Member) -> bool {
+        m.loss_counted || m.id == self.me || !self.current.has_counted_voter()
     }
 
     /// The later life of a member's machine, if it is here.
@@ -139,7 +147,7 @@
         let ready = ready.filter(|m| self.successor(m).is_none());
         let staying = self.current.voters.iter().filter(|m| !replaced(m));
         let (gone, here): (Vec<&Member>, Vec<&Member>) =
-            staying.partition(|m| self.silent(m, self.bounds.remove_after));
+            staying.partition(|m| self.silent(m, self.bounds.remove_after) || !self.may_vote(m));
         let mut pool: Vec<&Member> = here.into_iter().chain(ready).collect();
         let lacking = self.policy.floor().saturating_sub(pool.len());
         pool.extend(gone.into_iter().take(lacking));
--- a/crates/control-cell/src/duties/stores.rs
+++ b/crates/control-cell/src/duties/stores.rs
@@ -4,7 +4,8 @@
 //! than it says. Each step records in the set what the reports prove.
 //!
 //! A newcomer comes either in the place of a store that is gone, or as one more once each store of the
-//! set has reported after the newcomer did, so that none of them can be its predecessor. A store that
+//! set has reported after the newcomer did, so that none of them can be its predecessor. Only stores whose
+//! loss counts are placed: any number of others may go, and none of their copies would. A store that
 //! is gone is never waited for longer than `RecoveryBounds` says, and one that comes back with its disk
 //! is taken in again without waiting for the others where they can't prove their history without it.
 use crate::prelude::*;
@@ -29,6 +30,7 @@
         state: StoreState::Placed,
         since,
         rank,
+        loss_counted: s.loss_counted,
     }
 }
 
@@ -63,8 +65,10 @@
 
 impl Observed<'_> {
     fn founded(&self, tolerated: u32) -> Option<StoreSet> {
-        let founders: Vec<&StoreObservation> =
-            self.seen.iter().filter(|s| !s.status.fresh).collect();
+        let any_counted = self.seen.iter().any(|s| s.status.loss_counted);
+        let is_founder =
+            |s: &&StoreObservation| !s.status.fresh && (s.status.loss_counted || !any_counted);
+        let founders: Vec<&StoreObservation> = self.seen.iter().filter(is_founder).collect();
         if founders.is_empty() || self.calm < self.bounds.replace_after {
             return None;
         }
@@ -118,10 +122,11 @@
         }
         let needed = set.needs_back(status.id);
         let superseded = set.superseded.contains(&status.id);
-        if needed && (superseded || status.ending || set.retirement(&status.name).is_some()) {
+        let retired = set.retirement(&status.name).is_some();
+        if needed && (superseded || status.ending || retired || !self.may_be_placed(status)) {
             return Some(self.taken_back(status));
         }
-        if superseded || status.ending {
+        if superseded || status.ending || !self.may_be_placed(status) {
             return None;
         }
         if set.retirement(&status.name).is_some() {
@@ -141,6 +146,11 @@
         Some(self.step(|n| n.stores.push(entry(status, n.version, rank))))
     }
 
+    /// A store whose loss doesn't count is placed only where there is none whose loss does.
+    fn may_be_placed(&self, status: &StoreStatus) -> bool {
+        status.loss_counted || self.set.stores.iter().all(|e| !e.loss_counted)
+    }
+
     /// A store that is not to be placed again has what the others can't prove: it transfers what it holds, as
     /// in a retirement, and goes again once they have it.
     fn taken_back(&self, status: &StoreStatus) -> StoreSet {
@@ -261,15 +271,16 @@
         }))
     }
 
-    /// A store that was told to stop leaves as in a retirement, where it can be spared: as a planned step,
-    /// so that what it holds is with others before it goes.
+    /// A store that was told to stop, or whose loss doesn't count while others' does, leaves as in a
+    /// retirement, where it can be spared: as a planned step, so that what it holds is with others before.
     fn with_one_leaving(&self) -> Option<StoreSet> {
         let all_at_work = self.set.stores.iter().all(|e| self.is_at_work(e.id));
         if !(may_retire(self.set) && all_at_work && self.all_caught_up()) {
             return None;
         }
         let placed = |id: u64| self.set.find(id).is_some_and(|e| e.state == StoreState::Placed);
-        let ending = self.at_work().find(|s| s.status.ending && placed(s.status.id))?.status.id;
+        let leaves = |s: &StoreStatus| s.ending || !self.may_be_placed(s);
+        let ending = self.at_work().find(|s| leaves(&s.status) && placed(s.status.id))?.status.id;
         Some(self.step(|n| {
             let since = n.version;
             for e in n.stores.iter_mut().filter(|e| e.id == ending) {
--- a/crates/control-cell/tests/core_schedules.rs
+++ b/crates/control-cell/tests/core_schedules.rs
@@ -133,6 +133,7 @@
             addr: format!("a{}", m.name),
             zone: format!("z{}", m.zone),
             incarnation: 0,
+            loss_counted: true,
         }
     }
 
--- a/crates/control-cell/tests/currency.rs
+++ b/crates/control-cell/tests/currency.rs
@@ -149,6 +149,7 @@
         version: 1,
         caught_up: Some(VersionSpan { from: 1, to: 1 }),
         ending: false,
+        loss_counted: true,
     }
 }
 
--- a/crates/control-cell/tests/history_model/cells.rs
+++ b/crates/control-cell/tests/history_model/cells.rs
@@ -95,6 +95,7 @@
         addr: String::new(),
         zone: String::new(),
         incarnation: 0,
+        loss_counted: true,
     };
     let membership = Membership::of_voters(ids.iter().map(member).collect());
     TermLog::new(Snapshot { membership, ..Snapshot::default() }, Vec::new())
--- a/crates/control-cell/tests/holders.rs
+++ b/crates/control-cell/tests/holders.rs
@@ -2,7 +2,14 @@
 use control_cell::prelude::*;
 
 fn member(id: u64, zone: &str) -> Member {
-    Member { id, name: String::new(), addr: String::new(), zone: zone.into(), incarnation: 0 }
+    Member {
+        id,
+        name: String::new(),
+        addr: String::new(),
+        zone: zone.into(),
+        incarnation: 0,
+        loss_counted: true,
+    }
 }
 
 #[test]
--- a/crates/control-cell/tests/members.rs
+++ b/crates/control-cell/tests/members.rs
@@ -39,7 +39,14 @@
 
 fn member(id: u64) -> Member {
     let name = format!("n{id}");
-    Member { id, addr: format!("{name}:1"), zone: format!("z{id}"), name, incarnation: 0 }
+    Member {
+        id,
+        addr: format!("{name}:1"),
+        zone: format!("z{id}"),
+        name,
+        incarnation: 0,
+        loss_counted: true,
+    }
 }
 
 fn in_zone(id: u64, zone: &str) -> Member {
@@ -209,3 +216,41 @@
     let current = Membership { outgoing: vec![member(2)], ..of(&[1], &[3]) };
     assert_eq!(next_membership(&current, 1, &[], 9, &machines(1), |_| CALM), None);
 }
+
+/// Machines whose loss isn't counted may go in any number: none of them votes while one whose loss is does.
+#[test]
+fn a_machine_whose_loss_is_not_counted_is_a_standby() {
+    let uncounted = |id| Member { loss_counted: false, ..member(id) };
+    let mut current = of(&[1, 2, 3], &[4, 5]);
+    current.learners[1] = uncounted(5);
+    // Five machines, of which four count: three vote, and no silence brings the fifth in.
+    assert_eq!(next_membership(&current, 1, &[], 9, &machines(1), |_| CALM), None);
+    let observe = |id| if id == 2 || id == 4 { silent(4) } else { CALM };
+    assert_eq!(next_membership(&current, 1, &[], 9, &machines(1), observe), None);
+
+    // A founder that turns out not to count gives its place to a standby that does.
+    let mut current = of(&[1, 2, 3], &[4]);
+    current.voters[1] = uncounted(2);
+    let next = next_membership(&current, 1, &[], 9, &machines(1), |_| CALM).unwrap();
+    assert_eq!((ids(&next.voters), ids(&next.learners)), (vec![1, 3, 4], vec![2]));
+    // Without a standby it stays, as fewer would be left than losses are to be borne with; a leader stays
+    // until it has handed over.
+    let mut current = of(&[1, 2, 3], &[]);
+    current.voters[1] = uncounted(2);
+    assert_eq!(next_membership(&current, 1, &[], 9, &machines(1), |_| CALM), None);
+    current.learners = vec![member(4)];
+    assert_eq!(next_membership(&current, 2, &[], 9, &machines(1), |_| CALM), None);
+}
+
+/// A core none of whose losses is counted works like any other.
+#[test]
+fn where_no_loss_is_counted_all_may_vote() {
+    let uncounted = |id: u64| Member { loss_counted: false, ..member(id) };
+    let current = Membership {
+        voters: vec![uncounted(1)],
+        outgoing: Vec::new(),
+        learners: vec![uncounted(2), uncounted(3)],
+    };
+    let next = next_membership(&current, 1, &[], 9, &machines(1), |_| CALM).unwrap();
+    assert_eq!(ids(&next.voters), [1, 2, 3]);
+}
--- a/crates/control-cell/tests/slow_link/mod.rs
+++ b/crates/control-cell/tests/slow_link/mod.rs
@@ -183,6 +183,7 @@
             addr: format!("address-{id}"),
             zone: "a".into(),
             incarnation: 0,
+            loss_counted: true,
         };
         let membership = Membership::of_voters(CELLS.map(member).to_vec());
         let founded = TermLog::new(Snapshot { membership, ..Snapshot::default() }, Vec::new());
--- a/crates/control-cell/tests/stores.rs
+++ b/crates/control-cell/tests/stores.rs
@@ -12,6 +12,7 @@
         version: 1,
         caught_up: span(1, 1),
         ending: false,
+        loss_counted: true,
     }
 }
 
@@ -388,3 +389,90 @@
     assert_eq!(next.find(1).unwrap().rank, set.find(1).unwrap().rank);
     assert!(!next.lacks_proof());
 }
+
+/// Machines whose loss isn't counted may go in any number: none of them is placed beside ones whose loss is.
+#[test]
+fn a_machine_whose_loss_is_not_counted_is_not_placed() {
+    let mut founders = seen(&[(1, "a", false), (2, "b", false), (3, "c", false), (4, "d", false)]);
+    founders[3].status.loss_counted = false;
+    let first = Duration::from_secs(2);
+    let set = next_stores(&StoreSet::default(), &founders, first, 1, &bounds()).unwrap();
+    assert_eq!(set.stores.iter().map(|e| e.id).collect::<Vec<_>>(), [1, 2, 3]);
+    caught_up(&mut founders, &set);
+    assert!(due(&set, &founders).is_none(), "nor later");
+    // Not even in the place of a dead one.
+    founders[0].silent = LONG;
+    assert!(due(&set, &founders).is_none());
+}
+
+#[test]
+fn a_placed_machine_that_is_not_counted_any_more_leaves_by_plan() {
+    let (set, mut s) = founded();
+    caught_up(&mut s, &set);
+    s[1].status.loss_counted = false;
+    let next = due(&set, &s).unwrap();
+    assert_eq!(next.find(2).map(|e| e.state), Some(StoreState::Leaving));
+    caught_up(&mut s, &next);
+    let gone = due(&next, &s).unwrap();
+    assert!(gone.find(2).is_none() && gone.placed() == 3);
+    caught_up(&mut s, &gone);
+    assert!(due(&gone, &s).is_none());
+}
+
+#[test]
+fn where_no_loss_is_counted_all_are_placed() {
+    let mut founders = seen(&[(1, "a", false), (2, "b", false), (3, "c", false)]);
+    founders.iter_mut().for_each(|s| s.status.loss_counted = false);
+    let first = Duration::from_secs(2);
+    let set = next_stores(&StoreSet::default(), &founders, first, 1, &bounds()).unwrap();
+    assert_eq!(set.placed(), 3);
+}
+
+/// A store that left the set, for whatever reason, transfers again while the others can't prove what it had.
+#[test]
+fn a_store_that_is_needed_comes_back_to_transfer() {
+    let (founded, s) = founded();
+    // Of four, "b" drained beside its successor and was cut off, and the disk of "c" was lost meanwhile.
+    let replaced = founded.next(|n| {
+        n.superseded.insert(2);
+        n.stores.retain(|e| e.id != 2 && e.id != 3);
+        let placed = |id, name: &str, rank| StoreEntry {
+            id,
+            name: name.into(),
+            addr: format!("{name}:2"),
+            rank,
+            ..founded.stores[1].clone()
+        };
+        n.stores.push(placed(12, "b", founded.stores[1].rank));
+        n.stores.push(placed(13, "c", founded.stores[2].rank));
+    });
+    assert!(replaced.lacks_proof());
+    let mut here = vec![s[0].clone(), s[3].clone(), s[1].clone()];
+    here.extend(seen(&[(12, "b", true), (13, "c", true)]));
+    here[3..].iter_mut().for_each(|s| s.status.caught_up = None);
+    for reason in ["superseded", "ending", "retired"] {
+        let mut set = replaced.clone();
+        let mut back = here.clone();
+        match reason {
+            "ending" => {
+                set.superseded.clear();
+                back[2].status.ending = true;
+            }
+            "retired" => {
+                set.superseded.clear();
+                set.retirements.insert("b".into(), Retirement::Running);
+            }
+            _ => {}
+        }
+        let next = due(&set, &back).unwrap();
+        let state = next.find(2).map(|e| e.state);
+        assert_eq!(state, Some(StoreState::Leaving), "{reason}");
+        assert_eq!(next.placement(), set.placement(), "{reason}: nobody's place changes");
+        // Once all are caught up it goes again.
+        caught_up(&mut back, &next);
+        let gone = due(&next, &back).unwrap();
+        assert!(gone.find(2).is_none() && !gone.lacks_proof(), "{reason}");
+        caught_up(&mut back, &gone);
+        assert!(due(&gone, &back).is_none(), "{reason}");
+    }
+}
--- a/crates/inner-protocol/src/cells/membership.rs
+++ b/crates/inner-protocol/src/cells/membership.rs
@@ -17,6 +17,9 @@
     /// The log index of the entry that took this life in; 0 for founders.
     #[serde(default)]
     pub incarnation: u64,
+    /// Its machine is one of those that `toleratedLosses` speaks of. Others may go in any number.
+    #[serde(default = "loss_counted_by_default", skip_serializing_if = "is_loss_counted")]
+    pub loss_counted: bool,
 }
 
 /// Who replicates the log, and whose answers count.
@@ -39,6 +42,11 @@
         Membership { voters, ..Membership::default() }
     }
 
+    /// Whether a machine whose loss counts votes.
+    pub fn has_counted_voter(&self) -> bool {
+        self.voters.iter().any(|m| m.loss_counted)
+    }
+
     /// Whether a change of voters is under way.
     pub fn is_joint(&self) -> bool {
         !self.outgoing.is_empty()
--- a/crates/inner-protocol/src/lib.rs
+++ b/crates/inner-protocol/src/lib.rs
@@ -6,3 +6,13 @@
 pub mod patch;
 pub mod prelude;
 pub mod stores;
+
+/// Records from before `lossCounted` was read, and settings that don't name it: every machine counts.
+fn loss_counted_by_default() -> bool {
+    true
+}
+
+/// What is as by default isn't written.
+fn is_loss_counted(counted: &bool) -> bool {
+    *counted
+}
--- a/crates/inner-protocol/src/prelude.rs
+++ b/crates/inner-protocol/src/prelude.rs
@@ -5,3 +5,5 @@
 pub use node_base::prelude::*;
 pub use routing_trial::prelude::{Evidence, NodeReport, TrialRecord, TrialSpec, Verdict};
 pub use serde_bytes::ByteBuf;
+
+pub(crate) use crate::{is_loss_counted, loss_counted_by_default};
--- a/crates/inner-protocol/src/stores/set.rs
+++ b/crates/inner-protocol/src/stores/set.rs
@@ -32,6 +32,9 @@
     pub since: u64,
     /// Its rank in the placement; a successor inherits it.
     pub rank: u64,
+    /// Its machine is one of those that `toleratedLosses` speaks of. Others may go in any number.
+    #[serde(default = "loss_counted_by_default", skip_serializing_if = "is_loss_counted")]
+    pub loss_counted: bool,
 }
 
 /// How far an acknowledged order to retire a machine has come.
@@ -185,4 +188,7 @@
     pub caught_up: Option<VersionSpan>,
     /// It was told to stop: until it does, it transfers what it holds.
     pub ending: bool,
+    /// Its machine is one of those that `toleratedLosses` speaks of.
+    #[serde(default = "loss_counted_by_default", skip_serializing_if = "is_loss_counted")]
+    pub loss_counted: bool,
 }
--- a/crates/inner-protocol/tests/groups.rs
+++ b/crates/inner-protocol/tests/groups.rs
@@ -14,6 +14,7 @@
         state: StoreState::Placed,
         since: 1,
         rank: fnv64(name.as_bytes()),
+        loss_counted: true,
     }
 }
 
--- a/crates/node-base/src/settings/check.rs
+++ b/crates/node-base/src/settings/check.rs
@@ -137,6 +137,7 @@
         internal_ports,
         seeds,
         first_start: raw.first_start,
+        loss_counted: raw.loss_counted.unwrap_or(true),
         data_dir: raw.data_directory.map(PathBuf::from),
         listen,
         limits,
--- a/crates/node-base/src/settings/fields.rs
+++ b/crates/node-base/src/settings/fields.rs
@@ -59,6 +59,8 @@
     rule!("internalPortRange", AfterRestart, internal_ports),
     rule!("seedAddresses", AtOnce, seeds),
     rule!("firstStart", FirstStartOnly, first_start),
+    // It goes with the identity that a cell or store has given to the others.
+    rule!("lossCounted", AfterRestart, loss_counted),
     rule!("dataDirectory", AfterRestart, data_dir),
     rule!("listenAddresses.front", AfterRestart, listen.front),
     rule!("listenAddresses.readiness", AfterRestart, listen.readiness),
--- a/crates/node-base/src/settings/mod.rs
+++ b/crates/node-base/src/settings/mod.rs
@@ -35,6 +35,8 @@
     pub seeds: Vec<SocketAddr>,
     /// This is the first start of the whole system: an empty disk has lost nothing.
     pub first_start: bool,
+    /// This machine is one of those that `toleratedLosses` speaks of; any number of others may go.
+    pub loss_counted: bool,
     /// Where the process keeps its data; none on machines without a disk.
     pub data_dir: Option<PathBuf>,
     /// Where it serves others than the system itself.
--- a/crates/node-base/src/settings/raw.rs
+++ b/crates/node-base/src/settings/raw.rs
@@ -15,6 +15,7 @@
     pub seed_addresses: Vec<String>,
     #[serde(default)]
     pub first_start: bool,
+    pub loss_counted: Option<bool>,
     pub data_directory: Option<String>,
     #[serde(default)]
     pub listen_addresses: BTreeMap<String, String>,
--- a/crates/node-base/tests/reload.rs
+++ b/crates/node-base/tests/reload.rs
@@ -13,6 +13,7 @@
 internalPortRange = [7380, 7395]
 seedAddresses = ["10.1.0.33:8144"]
 firstStart = true
+lossCounted = true
 dataDirectory = "/d"
 [zones]
 a = "r"
@@ -57,6 +58,7 @@
     ("internalPortRange", "[7380, 7395]", "[7400, 7415]"),
     ("seedAddresses", "10.1.0.33:8144", "10.1.0.34:8144"),
     ("firstStart", "firstStart = true", "firstStart = false"),
+    ("lossCounted", "lossCounted = true", "lossCounted = false"),
     ("dataDirectory", "\"/d\"", "\"/e\""),
     ("listenAddresses.front", ":8149", ":8150"),
     ("listenAddresses.readiness", ":8141", ":8151"),
@@ -144,6 +146,7 @@
         internal_ports: _,
         seeds: _,
         first_start: _,
+        loss_counted: _,
         data_dir: _,
         listen: ListenSettings { front: _, readiness: _, control: _ },
         limits: LimitSettings { memory_mb: _, descriptors: _, disk_mb: _ },
@@ -161,8 +164,8 @@
         cloud: _,
         dispatcher: Limits { per_line: _, per_program: _, lease: _, slack: _, reread: _ },
     } = new;
-    // `slack` and `reread` aren't read from the file; `nodeName` to `leaseS` above are 29 rows.
-    assert_eq!(FIELD_RULES.len(), 29);
+    // `slack` and `reread` aren't read from the file; `nodeName` to `leaseS` above are 30 rows.
+    assert_eq!(FIELD_RULES.len(), 30);
 }
 
 #[test]
--- a/crates/request-proxy/tests/open.rs
+++ b/crates/request-proxy/tests/open.rs
@@ -86,6 +86,7 @@
                 state: StoreState::Placed,
                 since: 1,
                 rank: id,
+                loss_counted: true,
             })
             .collect();
     })
--- a/crates/stand-ins/tests/store_schedules/store.rs
+++ b/crates/stand-ins/tests/store_schedules/store.rs
@@ -112,6 +112,7 @@
             version: self.tables.history.set.version,
             caught_up: self.caught_up,
             ending: self.ending,
+            loss_counted: true,
         }
     }
 
--- a/crates/turn-store/src/actor/work.rs
+++ b/crates/turn-store/src/actor/work.rs
@@ -165,6 +165,7 @@
         version: 0,
         caught_up: ident.caught_up,
         ending: false,
+        loss_counted: settings.loss_counted,
     };
     let (stx, srx) = watch::channel(Some(status));
     let (tx, rx) = mpsc::channel(4096);
--- a/crates/turn-store/tests/common/mod.rs
+++ b/crates/turn-store/tests/common/mod.rs
@@ -25,6 +25,7 @@
                 state: StoreState::Placed,
                 since: 1,
                 rank: *id,
+                loss_counted: true,
             })
             .collect();
     })
--- a/crates/turn-store/tests/tables.rs
+++ b/crates/turn-store/tests/tables.rs
@@ -298,3 +298,42 @@
     let key = (0..5000).map(|n| StoreSet::key_of(&format!("p{n}"))).find(moved).unwrap();
     assert!(stores[1].keeps(1, key), "it vouches for that placement as well");
 }
+
+/// One store's disk is lost while another is away, is taken out of the set and comes back before anybody had
+/// the programs that it left. Who lacked some of them in between vouches for nothing there: otherwise the new
+/// disk would count as caught up without what lies only with the store that was away, and say no to it.
+#[test]
+fn a_span_never_covers_a_placement_whose_programs_the_store_lacked() {
+    let first = set_of(&[1, 2, 3, 4]);
+    let wiped = first.next(|s| s.stores[2].id = 9);
+    let without = wiped.next(|s| s.stores.retain(|e| e.id != 4));
+    let back = without.next(|s| s.stores.push(first.stores[3].clone()));
+    let span = Some(VersionSpan { from: 1, to: first.version });
+    let learns_all = |id: u64, span| {
+        let mut history = History::new(id, span);
+        for set in [&wiped, &without, &back] {
+            history.learn(set.clone());
+        }
+        history
+    };
+    let [one, two] = [1, 2].map(|id| learns_all(id, span));
+    assert!(!one.is_caught_up(), "it was given programs in between and never had them");
+    let mut straight = History::new(1, span);
+    straight.learn(wiped.clone());
+    assert_eq!(straight.learn(back.clone()), Learnt::Behind, "nor by the last set alone");
+
+    let mut new_disk = learns_all(9, None);
+    for other in [&one, &two] {
+        new_disk.transferred(back.version, other.me, other.caught_up);
+    }
+    let on_lost_and_away = |key: &u64| {
+        let group = first.group(*key);
+        group.contains(&3) && group.contains(&4) && back.group(*key).contains(&9)
+    };
+    let mut keys = (0..500).map(|n| StoreSet::key_of(&format!("p{n}")));
+    let key = keys.find(on_lost_and_away).unwrap();
+    assert!(!new_disk.complete() && !new_disk.has_complete_history(key), "without the one away");
+    let away = History::new(4, span);
+    new_disk.transferred(back.version, 4, away.caught_up);
+    assert!(new_disk.complete() && new_disk.has_complete_history(key));
+}
