--- a/crates/node-base/src/disk/mod.rs
+++ b/crates/node-base/src/disk/mod.rs
@@ -10,4 +10,6 @@
 pub use chain::verify_segments;
 pub use ops::{DiskFile, DiskOps, RealDisk};
 pub use segments::SegmentLog;
-pub use snapshot::{load_snapshot, load_snapshot_on, load_value, save_snapshot, save_snapshot_on};
+pub use snapshot::{
+    load_snapshot, load_snapshot_on, load_value, load_value_on, save_snapshot, save_snapshot_on,
+};
--- a/crates/node-base/src/disk/snapshot.rs
+++ b/crates/node-base/src/disk/snapshot.rs
@@ -77,7 +77,16 @@
 /// Reads a snapshot that holds one value. One that can't be read as such is an error, never taken
 /// for none: a process that forgets who it was may vote twice.
 pub fn load_value<T: for<'a> Deserialize<'a>>(dir: &Path, name: &str) -> NodeResult<Option<T>> {
-    let Some(body) = load_snapshot(dir, name)? else {
+    load_value_on(&RealDisk, dir, name)
+}
+
+/// The same on a given disk.
+pub fn load_value_on<T: for<'a> Deserialize<'a>>(
+    disk: &dyn DiskOps,
+    dir: &Path,
+    name: &str,
+) -> NodeResult<Option<T>> {
+    let Some(body) = load_snapshot_on(disk, dir, name)? else {
         return Ok(None);
     };
     match decode(&body) {
--- a/crates/node-base/src/error.rs
+++ b/crates/node-base/src/error.rs
@@ -44,6 +44,12 @@
         /// The version that its header names.
         version: u32,
     },
+    /// The disk can't be relied on any more: nothing may be acknowledged, and the process must end.
+    #[snafu(display("the disk failed: {cause}"))]
+    DiskFailed {
+        /// What failed.
+        cause: Box<NodeError>,
+    },
     /// Anything else.
     #[snafu(display("{reason}"))]
     Other {
--- a/crates/node-base/src/prelude.rs
+++ b/crates/node-base/src/prelude.rs
@@ -1,7 +1,7 @@
 //! The one module every file of this package imports.
 pub use crate::disk::{
-    load_snapshot, load_snapshot_on, load_value, save_snapshot, save_snapshot_on, DiskFile,
-    DiskOps, RealDisk, SegmentLog,
+    load_snapshot, load_snapshot_on, load_value, load_value_on, save_snapshot, save_snapshot_on,
+    DiskFile, DiskOps, RealDisk, SegmentLog,
 };
 pub use crate::error::{NodeError, NodeResult};
 pub use crate::links::{decode, encode, tune_stream, Caller, LinkError, LinkResult};
--- a/crates/spokebank/src/main.rs
+++ b/crates/spokebank/src/main.rs
@@ -4,7 +4,14 @@
 
 use crate::prelude::*;
 
-/// Exit codes: 0 all is well, 1 faults found or the process failed, 2 it could not begin.
+/// Settings that mean nothing: the process could not begin.
+const BAD_SETTINGS: i32 = 2;
+/// The disk can't be written.
+const DISK_FAILED: i32 = 3;
+/// Faults were found, or the process failed.
+const FAILED: i32 = 1;
+
+/// Exit codes: 0 all is well, else as above.
 fn main() -> NodeResult<()> {
     let args: Spokebank = argh::from_env();
     node_base::logs::start_logs(&args.log_level)?;
@@ -12,10 +19,10 @@
         Ok(code) => code,
         Err(e) => {
             spdlog::error!("{}", e);
-            if matches!(e, NodeError::BadSettings { .. }) {
-                2
-            } else {
-                1
+            match e {
+                NodeError::BadSettings { .. } => BAD_SETTINGS,
+                NodeError::DiskFailed { .. } => DISK_FAILED,
+                _ => FAILED,
             }
         }
     };
--- a/crates/stand-ins/tests/store_schedules/copies.rs
+++ b/crates/stand-ins/tests/store_schedules/copies.rs
@@ -39,6 +39,19 @@
         }
     }
 
+    /// A process has started with these records: all that was ever synced is among them, and what else had
+    /// reached the disk by then is a copy as well.
+    pub fn read_back(&mut self, disk: u64, records: &[Logged]) {
+        let synced = |disks: &Vec<u64>| disks.contains(&disk);
+        let expected: Vec<Acknowledged> =
+            self.disks.iter().filter(|(_, d)| synced(d)).map(|(what, _)| *what).collect();
+        self.disks.values_mut().for_each(|disks| disks.retain(|d| *d != disk));
+        records.iter().for_each(|record| self.synced(disk, record));
+        for what in expected {
+            assert!(self.of(what).contains(&disk), "{what:?} was synced on {disk} and is gone");
+        }
+    }
+
     fn add(&mut self, disk: u64, what: Acknowledged) {
         let disks = self.disks.entry(what).or_default();
         if !disks.contains(&disk) {
--- a/crates/stand-ins/tests/store_schedules/leader.rs
+++ b/crates/stand-ins/tests/store_schedules/leader.rs
@@ -109,11 +109,13 @@
 
     /// A store takes a set, from its cell or another process.
     pub fn learns(&mut self, store: usize, set: &StoreSet) {
-        let s = &mut self.stores[store];
-        if !s.answers() || s.tables.history.learn(set.clone()) == Learnt::Old {
+        if !self.stores[store].answers() {
+            return;
+        }
+        let learnt = self.on_disk(store, |owner, _| owner.learn(set.clone()));
+        if learnt.is_none_or(|learnt| learnt == Learnt::Old) {
             return;
         }
-        s.caught_up = s.tables.history.caught_up;
         self.reports(store);
         self.asks_anew(store);
         self.stops_if_released(store);
--- a/crates/stand-ins/tests/store_schedules/plays.rs
+++ b/crates/stand-ins/tests/store_schedules/plays.rs
@@ -29,6 +29,7 @@
 fn a_store_gone_for_good_beside_a_retirement_and_a_cut() {
     for seed in 0..SEEDS {
         let mut w = World::new(4, 4, 1, ms(4200), seed);
+        w.power_fails = false;
         w.run_until(at(5.0));
         let [retired, cut, gone, wiped] = std::array::from_fn(|i| (i + seed as usize) % 4);
         w.retires(retired);
@@ -49,6 +50,7 @@
 fn a_store_gone_for_good_after_two_were_added() {
     for seed in 0..SEEDS {
         let mut w = World::new(4, 3, 1, ms(4100), seed);
+        w.power_fails = false;
         w.adds();
         w.adds();
         w.run_until(at(4.0));
--- a/crates/stand-ins/tests/store_schedules/prelude.rs
+++ b/crates/stand-ins/tests/store_schedules/prelude.rs
@@ -8,6 +8,7 @@
 pub use control_cell::prelude::{next_stores, RecoveryBounds, StoreObservation};
 pub use dispatcher::prelude::{ClaimDecision, ClaimTally, NewAttempt, Pinned, Reread};
 pub use request_proxy::prelude::{OpenFault, OpenLedger, OpenStep};
+pub use simulated_disk::{SimulatedDisk, Trouble};
 pub use stand_ins::prelude::*;
 pub use std::rc::Rc;
 pub use turn_store::prelude::*;
--- a/crates/stand-ins/tests/store_schedules/store.rs
+++ b/crates/stand-ins/tests/store_schedules/store.rs
@@ -13,15 +13,21 @@
     Down,
 }
 
-/// Invariants: `log` and `caught_up` are on the disk `id`; the events of an earlier `life` are void.
+const DIR: &str = "/data";
+/// Small, so that schedules go through several segments.
+const SEGMENT_BYTES: u64 = 8 << 10;
+
+/// Invariants: `id` is the identity of `disk`; `owner` works on it, and is void while the process is down;
+/// the events of an earlier `life` are void.
 pub struct Store {
     pub name: String,
     pub addr: String,
     pub zone: String,
     pub id: u64,
-    pub log: Vec<Logged>,
-    pub caught_up: Option<VersionSpan>,
-    pub tables: StoreTables,
+    pub disk: SimulatedDisk,
+    pub owner: StoreOwner,
+    /// When its process started: the owner's times count from here.
+    began: Time,
     pub reach: Reach,
     /// Its machine never comes back.
     pub gone: bool,
@@ -48,15 +54,17 @@
 }
 
 impl Store {
-    pub fn new(name: String, zone: String, id: u64, caught_up: Option<VersionSpan>) -> Self {
+    /// A machine with an empty disk, its process running.
+    pub fn new(name: String, zone: String, identity: StoreIdentity) -> Self {
+        let (id, disk) = (identity.id, SimulatedDisk::new(identity.id));
         Store {
+            owner: open(&disk, identity).unwrap(),
+            disk,
+            began: Time::ZERO,
             addr: format!("a{id}"),
             name,
             zone,
             id,
-            log: Vec::new(),
-            caught_up,
-            tables: StoreTables::new(History::new(id, caught_up), Limits::default()),
             reach: Reach::All,
             gone: false,
             ending: false,
@@ -72,19 +80,28 @@
         }
     }
 
-    /// Its process starts with what is on the disk.
-    pub fn starts(&mut self, now: Time) {
-        self.tables = StoreTables::new(History::new(self.id, self.caught_up), Limits::default());
-        self.log.iter().for_each(|l| self.tables.take(l.clone(), now));
+    /// Power is back: its process starts with what is on the disk, and gives the records that it read. Power
+    /// may be lost once more meanwhile, after so many steps.
+    pub fn starts(&mut self, now: Time, lost_again_after: Option<u64>) -> Vec<Logged> {
+        let identity = StoreIdentity::new(self.id, false);
+        if let Some(steps) = lost_again_after {
+            drop(self.disk.open_until_cut(steps, || open(&self.disk, identity)));
+        }
+        self.disk.restart();
+        let records = read_log(&self.disk);
+        self.owner = open(&self.disk, identity).unwrap();
+        assert_eq!(self.owner.identity().id, self.id, "the identity outlasts a loss of power");
+        self.began = now;
         (self.reach, self.ending, self.linked) = (Reach::All, false, false);
         self.life += 1;
         (self.round, self.exchanges, self.fruitless) = (self.round + 1, 0, 0);
+        records
     }
 
     /// Its disk is gone: it comes back with another identity.
     pub fn loses_its_disk(&mut self, id: u64) {
-        (self.id, self.caught_up) = (id, None);
-        self.log.clear();
+        self.id = id;
+        self.disk = SimulatedDisk::new(id);
     }
 
     /// Proxies and stores reach it.
@@ -98,7 +115,22 @@
     }
 
     pub fn is_caught_up(&self) -> bool {
-        self.tables.history.is_caught_up()
+        self.history().is_caught_up()
+    }
+
+    /// What it may speak for.
+    pub fn history(&self) -> &History {
+        &self.owner.tables.history
+    }
+
+    /// The versions at which it was caught up, as its disk says.
+    pub fn caught_up(&self) -> Option<VersionSpan> {
+        self.owner.identity().caught_up
+    }
+
+    /// Its process's own time.
+    pub fn process_time(&self, now: Time) -> Duration {
+        now.saturating_sub(self.began)
     }
 
     /// What it says of itself.
@@ -108,9 +140,9 @@
             name: self.name.clone(),
             addr: self.addr.clone(),
             zone: self.zone.clone(),
-            fresh: self.caught_up.is_none(),
-            version: self.tables.history.set.version,
-            caught_up: self.caught_up,
+            fresh: self.caught_up().is_none(),
+            version: self.history().set.version,
+            caught_up: self.caught_up(),
             ending: self.ending,
             loss_counted: true,
         }
@@ -118,6 +150,17 @@
 
     /// One that was told to stop may.
     pub fn is_released(&self) -> bool {
-        self.tables.history.may_stop()
+        self.history().may_stop()
     }
 }
+
+fn open(disk: &SimulatedDisk, if_empty: StoreIdentity) -> NodeResult<StoreOwner> {
+    StoreOwner::open(disk.handle(), Path::new(DIR), if_empty, Limits::default(), SEGMENT_BYTES)
+}
+
+fn read_log(disk: &SimulatedDisk) -> Vec<Logged> {
+    let mut records = Vec::new();
+    let log = Path::new(DIR).join("log");
+    SegmentLog::open_on(disk.handle(), &log, |_, bytes| records.extend(decode(bytes))).unwrap();
+    records
+}
--- a/crates/stand-ins/tests/store_schedules/transfer.rs
+++ b/crates/stand-ins/tests/store_schedules/transfer.rs
@@ -56,8 +56,8 @@
         if s.round != round || !s.answers() {
             return;
         }
-        let missing = s.tables.history.missing();
-        let version = s.tables.history.set.version;
+        let missing = s.history().missing();
+        let version = s.history().set.version;
         s.exchanges = missing.len();
         for e in missing {
             self.asks(Exchange { store, round, version, from: e.id, step: Step::Asks });
@@ -117,12 +117,15 @@
     }
 
     fn merged(&mut self, store: usize, page: SyncReply) -> Step {
-        let (mut log, mut lacking) = (Vec::new(), Vec::new());
-        for row in page.rows {
-            lacking.extend(self.stores[store].tables.merge(row, self.clock.now, &mut log));
+        let rows = page.rows;
+        let lacking = self.commits(store, |owner, now, records| {
+            let merge = |row| owner.tables.merge(row, now, records);
+            rows.into_iter().flat_map(merge).collect()
+        });
+        match lacking {
+            Some(lacking) => Step::Fetches { lacking, span: page.caught_up },
+            None => Step::Ends,
         }
-        self.keeps(store, log);
-        Step::Fetches { lacking, span: page.caught_up }
     }
 
     fn fetched(&mut self, store: usize, from: u64, lacking: Vec<MissingTurn>) -> Option<()> {
@@ -130,15 +133,12 @@
         let Some(StoreReply::Turns(turns)) = self.call(from, StoreCall::Fetch { ids }) else {
             return None;
         };
-        let mut log = Vec::new();
-        for MissingTurn { program, id } in lacking {
-            let Some(record) = turns.iter().find(|t| t.id == id).cloned() else { continue };
-            log.push(Logged::turn_of(program, record));
-        }
-        let (tables, now) = (&mut self.stores[store].tables, self.clock.now);
-        log.iter().for_each(|l| tables.take(l.clone(), now));
-        self.keeps(store, log);
-        Some(())
+        self.commits(store, |owner, now, records| {
+            for MissingTurn { program, id } in lacking {
+                let Some(turn) = turns.iter().find(|t| t.id == id).cloned() else { continue };
+                owner.tables.take_logged(Logged::turn_of(program, turn), now, records);
+            }
+        })
     }
 
     fn transferred(
@@ -148,11 +148,8 @@
         from: u64,
         span: Option<VersionSpan>,
     ) -> Step {
-        let s = &mut self.stores[store];
-        s.tables.transferred(version, from, span);
-        let caught_up = s.tables.history.caught_up;
-        if s.caught_up != caught_up {
-            s.caught_up = caught_up;
+        let completed = self.on_disk(store, |owner, _| owner.transferred(version, from, span));
+        if completed == Some(true) {
             self.reports(store);
         }
         Step::Ends
@@ -163,7 +160,7 @@
         let bounds = self.transfer_bounds();
         let s = &mut self.stores[store];
         s.exchanges = s.exchanges.saturating_sub(1);
-        if s.tables.history.missing().is_empty() {
+        if s.history().missing().is_empty() {
             s.round += 1;
         } else if s.exchanges == 0 {
             let wait = (bounds.pause * 2u32.pow(s.fruitless)).min(bounds.longest_pause);
--- a/crates/stand-ins/tests/store_schedules/troubles.rs
+++ b/crates/stand-ins/tests/store_schedules/troubles.rs
@@ -4,6 +4,12 @@
 
 /// From the loss of a disk, or the end of a process, to the next start.
 const RESTART: (Duration, Duration) = (ms(100), ms(600));
+/// One in so many pieces of work on a disk is cut by a loss of power, and one in so many starts, at any of
+/// so many steps.
+const CUT_ONE_IN: u64 = 250;
+const LOST_AGAIN_ONE_IN: u64 = 4;
+const STEPS_OF_A_WRITE: usize = 8;
+const STEPS_OF_A_START: usize = 16;
 /// Until a store follows a cell: after its start, and after a cut.
 const FIRST_LINK: Duration = ms(300);
 const LINK_AGAIN: Duration = ms(1300);
@@ -78,6 +84,57 @@
         self.is_lost(store, Reach::Down, wait, true)
     }
 
+    /// Power is back; it may be lost once more at any step of the start.
+    fn starts(&mut self, store: usize) {
+        let again = self.chance(LOST_AGAIN_ONE_IN).then(|| self.any(STEPS_OF_A_START) as u64);
+        let records = self.stores[store].starts(self.clock.now, again);
+        self.copies.read_back(self.stores[store].id, &records);
+    }
+
+    /// Work on a store's disk, and what comes of it; none where it lost power in the middle, which may be at
+    /// any step if the loss can be borne.
+    pub fn on_disk<T>(
+        &mut self,
+        store: usize,
+        work: impl FnOnce(&mut StoreOwner, Duration) -> NodeResult<T>,
+    ) -> Option<T> {
+        let now = self.clock.now;
+        let may_be_cut = self.losses.allows(store, now) && !self.losses.is_overlapping(now);
+        let cut = self.power_fails && self.chance(CUT_ONE_IN) && may_be_cut;
+        let steps_left = cut.then(|| self.any(STEPS_OF_A_WRITE) as u64);
+        let s = &mut self.stores[store];
+        s.disk.set_trouble(Trouble { steps_left, ..Trouble::default() });
+        let process_time = s.process_time(now);
+        match work(&mut s.owner, process_time) {
+            Ok(done) => {
+                s.disk.set_trouble(Trouble::default());
+                Some(done)
+            }
+            Err(e) => {
+                assert!(s.disk.is_dark(), "{e}");
+                let wait = self.delay(RESTART.0, RESTART.1);
+                self.is_lost(store, Reach::Down, wait, false);
+                None
+            }
+        }
+    }
+
+    /// Work on a store's tables, synced before anything is made of it.
+    pub fn commits<T>(
+        &mut self,
+        store: usize,
+        work: impl FnOnce(&mut StoreOwner, Duration, &mut Vec<Logged>) -> T,
+    ) -> Option<T> {
+        let mut records = Vec::new();
+        let done = self.on_disk(store, |owner, now| {
+            let done = work(owner, now, &mut records);
+            owner.commit(&records, now).map(|()| done)
+        })?;
+        let id = self.stores[store].id;
+        records.iter().for_each(|record| self.copies.synced(id, record));
+        Some(done)
+    }
+
     pub fn returns(&mut self, store: usize, trouble: u64) {
         let now = self.clock.now;
         if self.stores[store].trouble != trouble || self.stores[store].gone {
@@ -88,7 +145,7 @@
         self.note(format!("{} returns", self.stores[store].name));
         let s = &mut self.stores[store];
         if s.reach == Reach::Down {
-            s.starts(now);
+            self.starts(store);
             return self.links_up(store, ms(20), FIRST_LINK);
         }
         s.reach = Reach::All;
@@ -132,10 +189,9 @@
         let id = self.next_id;
         let name = name.unwrap_or_else(|| format!("s{id}"));
         self.note(format!("{name} starts in {zone} as {id}"));
-        let mut s = Store::new(name, zone, id, None);
-        s.starts(self.clock.now);
-        self.stores.push(s);
+        self.stores.push(Store::new(name, zone, StoreIdentity::new(id, false)));
         let store = self.stores.len() - 1;
+        self.starts(store);
         self.links_up(store, ms(20), FIRST_LINK);
         store
     }
@@ -152,7 +208,7 @@
                     // The roll is over with that.
                     self.losses.returns(store, now);
                 }
-                self.stores[store].starts(now);
+                self.starts(store);
                 self.stores[store].reach = reach;
                 self.links_up(store, ms(300), LINK_AGAIN);
             }
--- a/crates/stand-ins/tests/store_schedules/world.rs
+++ b/crates/stand-ins/tests/store_schedules/world.rs
@@ -133,14 +133,18 @@
     pub awaited: usize,
     /// Proxies begin turns.
     pub traffic: bool,
+    /// Machines lose power by themselves, in the middle of what they write.
+    pub power_fails: bool,
     /// What was done and agreed on, for the trace of a failure.
     history: VecDeque<String>,
 }
 
 impl World {
     pub fn new(n: u64, zones: u64, tolerated: u32, catch_up: Duration, noise: u64) -> Self {
-        let founding = Some(VersionSpan { from: 1, to: 1 });
-        let machine = |i| Store::new(format!("s{i}"), format!("z{}", i % zones), i + 1, founding);
+        let machine = |i| {
+            let identity = StoreIdentity::new(i + 1, true);
+            Store::new(format!("s{i}"), format!("z{}", i % zones), identity)
+        };
         let mut w = World {
             clock: Clock::new(),
             noise: fastrand::Rng::with_seed(noise),
@@ -159,6 +163,7 @@
             orders: BTreeSet::new(),
             awaited: 0,
             traffic: true,
+            power_fails: true,
             history: VecDeque::new(),
         };
         for store in 0..w.stores.len() {
@@ -242,17 +247,7 @@
     /// A call to the store with a disk, and what it synced before it answered.
     pub fn call(&mut self, id: u64, q: StoreCall) -> Option<StoreReply> {
         let i = self.machine_of(id).filter(|i| self.stores[*i].answers())?;
-        let mut log = Vec::new();
-        let reply = self.stores[i].tables.call(q, self.clock.now, &mut log);
-        self.keeps(i, log);
-        Some(reply)
-    }
-
-    /// A store syncs records.
-    pub fn keeps(&mut self, store: usize, log: Vec<Logged>) {
-        let s = &mut self.stores[store];
-        log.iter().for_each(|l| self.copies.synced(s.id, l));
-        s.log.extend(log);
+        self.commits(i, |owner, now, records| owner.tables.call(q, now, records))
     }
 
     pub fn note(&mut self, what: String) {
@@ -278,10 +273,10 @@
                 entry.map(|e| e.state),
                 s.ending,
                 self.losses.counts(i, now),
-                s.caught_up,
-                s.tables.history.set.version,
+                s.caught_up(),
+                s.history().set.version,
                 s.exchanges,
-                s.tables.history.missing().len(),
+                s.history().missing().len(),
             ));
         }
         let placed = self.set.placement().map_or(Vec::new(), |p| p.stores.iter().collect());
--- a/crates/turn-store/src/actor/mod.rs
+++ b/crates/turn-store/src/actor/mod.rs
@@ -1,9 +1,13 @@
 //! The one owner of the store's tables and log. Commands that came together are written and synced
 //! together, and only then answered.
-mod copying;
+mod command;
+mod owner;
+mod run;
 mod segments;
-mod work;
+mod transfer;
 
-pub use copying::TransferBounds;
+pub use command::{StoreCommand, StoreHandle};
+pub use owner::{StoreIdentity, StoreOwner};
+pub use run::{start, RunningStore};
 pub use segments::{Removal, SegmentUses};
-pub use work::{start, StoreCommand, StoreHandle};
+pub use transfer::TransferBounds;
--- a/crates/turn-store/src/actor/copying.rs
+++ b/crates/turn-store/src/actor/transfer.rs
@@ -1,5 +1,5 @@
 //! Asking the other stores for what this one may lack.
-use super::work::{StoreCommand, StoreHandle};
+use super::command::{StoreCommand, StoreHandle};
 use crate::prelude::*;
 
 /// Turns asked for at once, fewer after a call that took too long.
--- a/crates/turn-store/src/lib.rs
+++ b/crates/turn-store/src/lib.rs
@@ -9,8 +9,10 @@
 use crate::prelude::*;
 use node_base::settings::STORE_PORT;
 
-/// What is kept of the time between SIGTERM and SIGKILL for the end itself.
-const END_MARGIN: Duration = Duration::from_millis(600);
+/// This part of the time between SIGTERM and SIGKILL is kept for the end itself.
+const END_PART: u32 = 13;
+/// Calls that are answered as the process ends have so long to be sent.
+const LAST_ANSWERS: Duration = Duration::from_millis(100);
 
 /// Runs a store until it is told to stop.
 pub async fn run_store(settings: impl Into<SharedSettings>) -> NodeResult<()> {
@@ -19,7 +21,7 @@
     let addr = settings.own_addr(STORE_PORT);
     let listener =
         TcpListener::bind(&addr).await.map_err(|e| NodeError::Io { what: addr, source: e })?;
-    let (store, status) = actor::start(&shared)?;
+    let RunningStore { handle: store, status, mut owner } = actor::start(&shared)?;
     let (tx, mut rx) = mpsc::channel(64);
     tokio::spawn(follow_cells(FollowSettings::of_cells(&shared), tx, status));
     let h = store.clone();
@@ -41,11 +43,18 @@
     }));
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|e| NodeError::Io { what: "SIGTERM".into(), source: e })?;
-    term.recv().await;
-    // What it holds is transferred first, as far as that is possible in the time that is left.
-    let _ =
-        tokio::time::timeout(settings.bounds.grace.saturating_sub(END_MARGIN), store.end()).await;
-    // Everything answered is synced already; calls under way get a moment to be answered.
-    tokio::time::sleep(Duration::from_millis(100)).await;
-    Ok(())
+    let grace = settings.bounds.grace;
+    let end_in_order = async {
+        term.recv().await;
+        // What it holds is transferred first, as far as that is possible in the time that is left.
+        let _ = tokio::time::timeout(grace - grace / END_PART, store.end()).await;
+        // Everything answered is synced already; calls under way get a moment to be answered.
+        tokio::time::sleep(LAST_ANSWERS.min(grace / END_PART / 2)).await;
+    };
+    tokio::select! {
+        () = end_in_order => Ok(()),
+        failed = &mut owner => Err(failed.unwrap_or_else(|e| NodeError::Other {
+            reason: format!("the store's owner has ended: {e}"),
+        })),
+    }
 }
--- a/crates/turn-store/src/prelude.rs
+++ b/crates/turn-store/src/prelude.rs
@@ -1,5 +1,7 @@
 //! The one module every file of this package imports.
-pub use crate::actor::{Removal, SegmentUses, StoreCommand, StoreHandle};
+pub use crate::actor::{
+    Removal, RunningStore, SegmentUses, StoreCommand, StoreHandle, StoreIdentity, StoreOwner,
+};
 pub use crate::history::{History, Learnt};
 pub use crate::tables::{Logged, MissingTurn, StoreTables};
 pub use feed_follow::prelude::{follow_cells, FeedItem, FeedUpdate, FollowSettings};
