--- a/crates/control-cell/tests/core_schedules.rs
+++ b/crates/control-cell/tests/core_schedules.rs
@@ -77,6 +77,8 @@
     /// Requests of lives that are over, still on their way.
     late: Vec<JoinRequest>,
     leader: Option<(u64, Duration)>,
+    /// Until then absences overlap beyond what is tolerated: only disks count.
+    overlap_until: Duration,
     fresh: u64,
     steps: usize,
 }
@@ -100,6 +102,7 @@
             joiners: BTreeMap::new(),
             late: Vec::new(),
             leader: None,
+            overlap_until: Duration::ZERO,
             fresh: 100,
             steps: 0,
         };
@@ -334,7 +337,19 @@
         self.machines.iter().filter(holds).count() as i64
     }
 
+    /// Whether the newest entry that was agreed on is on a disk, wherever that is just now.
+    fn check_disks(&self) {
+        let newest = self.world.agreed.keys().last().copied().unwrap_or(0);
+        let holds = |m: &Machine| {
+            self.world.nodes.get(&m.id).is_some_and(|node| node.disk.last() >= newest)
+        };
+        assert!(self.machines.iter().any(holds), "entry {newest} is gone at {:?}", self.world.now);
+    }
+
     fn check(&self) {
+        if self.world.now < self.overlap_until {
+            return self.check_disks();
+        }
         assert!(self.losses() <= self.tolerated as usize);
         let losses = self.machines.iter().filter(|m| self.recovering(m)).count();
         let want = i64::from(self.tolerated) - losses as i64;
@@ -413,6 +428,42 @@
         Ok(())
     }
 
+    /// Machines are away beyond what is tolerated, perhaps all of them, each for its time, and as many disks
+    /// are lost meanwhile as may be. All are back long enough before the next trouble comes.
+    fn overlap(&mut self, u: &mut Unstructured) -> Generated<()> {
+        while self.losses() > 0 || !self.planned.is_empty() {
+            self.step();
+        }
+        let longest = *u.choose(&[600, 3000, 25_000])?;
+        let mut last = self.world.now;
+        for i in 0..self.machines.len() {
+            if u.ratio(1, 3)? {
+                continue;
+            }
+            let trouble =
+                *u.choose(&[Trouble::Kill, Trouble::Isolate, Trouble::Silence, Trouble::Deafen])?;
+            let lasts = Duration::from_millis(u.int_in_range(100..=longest)?);
+            self.trouble(i, trouble, lasts);
+            last = last.max(self.world.now + lasts);
+        }
+        self.overlap_until = last + self.catch_up * 2;
+        for _ in 0..u.int_in_range(0..=self.tolerated)? {
+            self.run(u.int_in_range(0..=longest as usize / STEP.as_millis() as usize)?);
+            let well = |i: &usize| self.machines[*i].trouble.is_none();
+            let well: Vec<usize> = (0..self.machines.len()).filter(well).collect();
+            if !well.is_empty() {
+                let restart = Duration::from_millis(200);
+                self.trouble(*u.choose(&well)?, Trouble::Wipe, restart);
+                let whole_again = self.world.now + restart + self.catch_up * 2;
+                self.overlap_until = self.overlap_until.max(whole_again);
+            }
+        }
+        while self.world.now < self.overlap_until {
+            self.step();
+        }
+        Ok(())
+    }
+
     /// A request of a life that is over arrives at last.
     fn deliver_late(&mut self, u: &mut Unstructured) -> Generated<()> {
         if !self.late.is_empty() {
@@ -498,3 +549,30 @@
         }
     }
 }
+
+/// Absences overlap beyond what is tolerated, with no more disks lost than that allows: nothing that was
+/// agreed on is lost, and the core is whole again by itself.
+#[test]
+fn absences_beyond_tolerance_cost_nothing_that_was_agreed() {
+    const SEEDS: u64 = 8;
+    const CALM_STEPS: usize = 900;
+    for (machines, tolerated) in [(3, 1), (4, 1), (5, 2), (6, 2), (8, 2)] {
+        for seed in 0..SEEDS {
+            arbtest::arbtest(|u| {
+                let start = *u.choose(&[0.0, 0.3, 1.0])?;
+                let mut core = Core::new(machines, tolerated, *u.choose(&CATCH_UPS)?, start);
+                for _ in 0..u.int_in_range(1..=4)? {
+                    if u.arbitrary()? {
+                        core.disturb(u)?;
+                        core.run(u.int_in_range(1..=40)?);
+                    }
+                    core.overlap(u)?;
+                }
+                core.run(CALM_STEPS);
+                core.assert_calm();
+                Ok(())
+            })
+            .seed((seed * 64 + machines * 4 + u64::from(tolerated)) << 32 | 1024);
+        }
+    }
+}
