--- a/crates/control-cell/src/actor/calls.rs
+++ b/crates/control-cell/src/actor/calls.rs
@@ -17,8 +17,8 @@
                     Some(_) => self.confirm_for(Reader::Order { change, waiting }),
                 };
             }
-            CellCall::Retire { store, ask_only } if leads => {
-                return self.confirm_for(Reader::Retire { store, ask_only, waiting });
+            CellCall::Retire { store, query_only } if leads => {
+                return self.confirm_for(Reader::Retire { store, query_only, waiting });
             }
             CellCall::Trial { ask } if leads => {
                 return self.confirm_for(Reader::Trial { ask, waiting });
@@ -47,7 +47,7 @@
                     false => CellReply::Unable,
                 });
             }
-            CellCall::Tell => waiting.answer(CellReply::Status(Box::new(self.status()))),
+            CellCall::Status => waiting.answer(CellReply::Status(Box::new(self.status()))),
             CellCall::Outcomes { reports } => {
                 self.trial.keep(self.desk.state(), reports);
                 waiting.answer(CellReply::Done);
--- a/crates/control-cell/src/actor/carry.rs
+++ b/crates/control-cell/src/actor/carry.rs
@@ -174,13 +174,15 @@
                 Some(outcome) => waiting.answer(CellReply::Outcome(outcome)),
                 None => drop(self.change(&change, Some(Order::Plain(waiting)))),
             },
-            Reader::Retire { store, ask_only, waiting } => self.retire(&store, ask_only, waiting),
+            Reader::Retire { store, query_only, waiting } => {
+                self.retire(&store, query_only, waiting)
+            }
             Reader::Trial { ask, waiting } => self.asked_of_trial(ask, waiting),
         }
     }
 
-    fn retire(&mut self, store: &str, ask_only: bool, waiting: Waiting<CellReply>) {
-        match retire_step(&self.desk.state().stores, store, ask_only) {
+    fn retire(&mut self, store: &str, query_only: bool, waiting: Waiting<CellReply>) {
+        match retire_step(&self.desk.state().stores, store, query_only) {
             RetireStep::Answer(state) => waiting.answer(CellReply::Retire(state)),
             RetireStep::Propose(change) => {
                 self.change(&change, Some(Order::Retire(waiting)));
@@ -188,7 +190,7 @@
         }
     }
 
-    fn asked_of_trial(&mut self, ask: TrialAsk, waiting: Waiting<CellReply>) {
+    fn asked_of_trial(&mut self, ask: TrialRequest, waiting: Waiting<CellReply>) {
         match self.trial.step(self.desk.state(), ask) {
             TrialStep::Answer(answer) => waiting.answer(answer),
             TrialStep::Propose(change) => {
--- a/crates/control-cell/src/actor/handle.rs
+++ b/crates/control-cell/src/actor/handle.rs
@@ -117,8 +117,8 @@
     }
 
     /// Orders a store to be emptied, or only asks how that goes.
-    pub async fn retire(&self, store: String, ask_only: bool, deadline: Instant) -> CellReply {
-        self.ask(CellCall::Retire { store, ask_only }, deadline).await
+    pub async fn retire(&self, store: String, query_only: bool, deadline: Instant) -> CellReply {
+        self.ask(CellCall::Retire { store, query_only }, deadline).await
     }
 
     /// A store's status report.
--- a/crates/control-cell/src/actor/run.rs
+++ b/crates/control-cell/src/actor/run.rs
@@ -54,11 +54,11 @@
     },
     Retire {
         store: String,
-        ask_only: bool,
+        query_only: bool,
         waiting: Waiting<CellReply>,
     },
     Trial {
-        ask: TrialAsk,
+        ask: TrialRequest,
         waiting: Waiting<CellReply>,
     },
 }
--- a/crates/control-cell/src/actor/stores.rs
+++ b/crates/control-cell/src/actor/stores.rs
@@ -48,12 +48,12 @@
     }
 }
 
-pub(super) fn retire_step(set: &StoreSet, store: &str, ask_only: bool) -> RetireStep {
+pub(super) fn retire_step(set: &StoreSet, store: &str, query_only: bool) -> RetireStep {
     let known = set.stores.iter().any(|s| s.name == store);
     RetireStep::Answer(match set.retirement(store) {
         Some(Retirement::Running) => RetireState::Running,
         Some(Retirement::Completed) => RetireState::Completed,
-        None if ask_only || !known => RetireState::Unknown,
+        None if query_only || !known => RetireState::Unknown,
         None if !may_retire(set) => RetireState::TooFew,
         None => {
             let change = Change::PutStores { base: set.version, set: set.begin_retirement(store) };
--- a/crates/control-cell/src/actor/trial.rs
+++ b/crates/control-cell/src/actor/trial.rs
@@ -104,11 +104,11 @@
     }
 
     /// What an ask leads to on the leader.
-    pub fn step(&self, state: &CellState, ask: TrialAsk) -> TrialStep {
+    pub fn step(&self, state: &CellState, ask: TrialRequest) -> TrialStep {
         let next = match ask {
-            TrialAsk::Tell => return TrialStep::Answer(CellReply::Trial(self.tell(state))),
-            TrialAsk::Start { spec } => Some(TrialRecord::begin(*spec, unix_ms())),
-            TrialAsk::Stop { at_once } => self
+            TrialRequest::Report => return TrialStep::Answer(CellReply::Trial(self.tell(state))),
+            TrialRequest::Start { spec } => Some(TrialRecord::begin(*spec, unix_ms())),
+            TrialRequest::Stop { at_once } => self
                 .tell(state)
                 .filter(|t| t.record.is_running())
                 .map(|t| t.record.ended(Verdict::Stopped { at_once }, unix_ms(), t.evidence)),
--- a/crates/control-cell/src/feed/mod.rs
+++ b/crates/control-cell/src/feed/mod.rs
@@ -160,6 +160,6 @@
             return;
         }
         self.next_heartbeat = now + HEARTBEAT;
-        self.send(&Numbered { no: self.no, item: FeedItem::Beat });
+        self.send(&Numbered { no: self.no, item: FeedItem::Heartbeat });
     }
 }
--- a/crates/control-cell/src/operator/mod.rs
+++ b/crates/control-cell/src/operator/mod.rs
@@ -142,8 +142,8 @@
     }
 }
 
-async fn retire(cell: CellHandle, node: &str, ask_only: bool) -> Answer {
-    match cell.retire(node.to_string(), ask_only, deadline_of(0)).await {
+async fn retire(cell: CellHandle, node: &str, query_only: bool) -> Answer {
+    match cell.retire(node.to_string(), query_only, deadline_of(0)).await {
         CellReply::Retire(RetireState::Unknown) => answer(404, json!({"error": "no such machine"})),
         CellReply::Retire(RetireState::TooFew) => {
             answer(409, json!({"error": "too few would be left"}))
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -12,7 +12,7 @@
 };
 pub use inner_protocol::cells::{
     Body, BodyDigest, CellCall, CellReply, CellStatus, Change, Entry, LogPosition, Member,
-    Membership, Msg, Outcome, RetireState, Snapshot, TrialAsk, TrialReport,
+    Membership, Msg, Outcome, RetireState, Snapshot, TrialReport, TrialRequest,
 };
 pub use inner_protocol::feed::{
     EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics, ZoneTable,
--- a/crates/control-cell/tests/common/mod.rs
+++ b/crates/control-cell/tests/common/mod.rs
@@ -105,12 +105,12 @@
     Builder::new_current_thread().enable_all().build().unwrap().block_on(play);
 }
 
-pub async fn ask(c: &CellHandle, ask: TrialAsk) -> Option<CellReply> {
+pub async fn ask(c: &CellHandle, ask: TrialRequest) -> Option<CellReply> {
     c.answer(CellCall::Trial { ask }).await
 }
 
 pub async fn leader(c: &CellHandle) -> Option<String> {
-    match c.answer(CellCall::Tell).await {
+    match c.answer(CellCall::Status).await {
         Some(CellReply::Status(t)) => t.leader,
         _ => None,
     }
--- a/crates/control-cell/tests/currency.rs
+++ b/crates/control-cell/tests/currency.rs
@@ -16,7 +16,7 @@
 async fn cut_leader(place: &Place) -> (CellHandle, Process) {
     let (mut cells, mut stops) = place.three();
     let at = leader_at(&cells).await;
-    let start = || TrialAsk::Start { spec: Box::new(check_spec(SPEC).unwrap()) };
+    let start = || TrialRequest::Start { spec: Box::new(check_spec(SPEC).unwrap()) };
     until("a start", async || {
         matches!(ask(&cells[at], start()).await, Some(CellReply::Outcome(Outcome::Taken)))
     })
@@ -31,8 +31,8 @@
     let place = Place::new(11);
     run(async {
         let (cell, _stop) = cut_leader(&place).await;
-        for ask_only in [true, false] {
-            let answer = cell.retire("storage-1".into(), ask_only, deadline()).await;
+        for query_only in [true, false] {
+            let answer = cell.retire("storage-1".into(), query_only, deadline()).await;
             assert!(matches!(answer, CellReply::Unable), "{answer:?}");
         }
     });
@@ -43,8 +43,8 @@
     let place = Place::new(12);
     run(async {
         let (cell, _stop) = cut_leader(&place).await;
-        let again = TrialAsk::Start { spec: Box::new(check_spec(SPEC).unwrap()) };
-        for asked in [TrialAsk::Tell, again] {
+        let again = TrialRequest::Start { spec: Box::new(check_spec(SPEC).unwrap()) };
+        for asked in [TrialRequest::Report, again] {
             let answer = ask(&cell, asked).await;
             assert!(matches!(answer, Some(CellReply::Unable)), "{answer:?}");
         }
--- a/crates/control-cell/tests/feed.rs
+++ b/crates/control-cell/tests/feed.rs
@@ -71,7 +71,7 @@
     let all = Wants { topics: Topics::All, patches: true };
     let mut opened = book.open(FollowFrom { feed: 0, no: 0, wants: all }, Vec::new);
     book.heartbeat(now, true);
-    assert_eq!(status(&mut opened.items), [FeedItem::Current, FeedItem::Beat]);
+    assert_eq!(status(&mut opened.items), [FeedItem::Current, FeedItem::Heartbeat]);
     book.heartbeat(now + Duration::from_millis(1), false);
     assert_eq!(book.follower_count(), 0);
     assert!(opened.items.is_closed());
--- a/crates/control-cell/tests/leaving.rs
+++ b/crates/control-cell/tests/leaving.rs
@@ -5,7 +5,7 @@
 use control_cell::prelude::*;
 
 async fn status(cell: &CellHandle) -> CellStatus {
-    match cell.answer(CellCall::Tell).await {
+    match cell.answer(CellCall::Status).await {
         Some(CellReply::Status(status)) => *status,
         other => panic!("{other:?}"),
     }
--- a/crates/control-cell/tests/trial_leader.rs
+++ b/crates/control-cell/tests/trial_leader.rs
@@ -6,7 +6,7 @@
 use routing_trial::prelude::{check_spec, Arm, Breach, Outcome as Came};
 
 async fn status(c: &CellHandle) -> Option<Box<TrialReport>> {
-    match ask(c, TrialAsk::Tell).await {
+    match ask(c, TrialRequest::Report).await {
         Some(CellReply::Trial(t)) => t,
         _ => None,
     }
@@ -22,7 +22,7 @@
 }
 
 async fn applied(c: &CellHandle) -> u64 {
-    match c.answer(CellCall::Tell).await {
+    match c.answer(CellCall::Status).await {
         Some(CellReply::Status(t)) => t.applied,
         _ => 0,
     }
@@ -40,7 +40,7 @@
                 [guardrail]\nprotectedPriority = 0\n";
     let spec = Box::new(check_spec(text).unwrap());
     until("a start", async || {
-        let start = TrialAsk::Start { spec: spec.clone() };
+        let start = TrialRequest::Start { spec: spec.clone() };
         matches!(ask(&cells[0], start).await, Some(CellReply::Outcome(Outcome::Taken)))
     })
     .await;
--- a/crates/doctor/src/facts/mod.rs
+++ b/crates/doctor/src/facts/mod.rs
@@ -66,7 +66,7 @@
     let mut stores: BTreeMap<String, StoreSummary> = BTreeMap::new();
     while let Some(addr) = todo.pop_front() {
         let before = unix_ms();
-        let status = match Caller::new(addr.clone()).call(&CellCall::Tell, WITHIN).await {
+        let status = match Caller::new(addr.clone()).call(&CellCall::Status, WITHIN).await {
             Ok(CellReply::Status(t)) => Some(*t),
             _ => None,
         };
@@ -85,7 +85,7 @@
     }
     for summary in stores.into_values() {
         let caller = Caller::new(summary.addr.clone());
-        let answer = match caller.call(&StoreCall::Tell, WITHIN).await {
+        let answer = match caller.call(&StoreCall::Status, WITHIN).await {
             Ok(StoreReply::Status { version, fresh, turns, beyond_proof, .. }) => {
                 Some(StoreAnswer { version, fresh, turns, beyond_proof })
             }
--- a/crates/feed-follow/src/link/mod.rs
+++ b/crates/feed-follow/src/link/mod.rs
@@ -184,7 +184,7 @@
                                 }
                                 _ => {}
                             }
-                            if n.item == FeedItem::Beat {
+                            if n.item == FeedItem::Heartbeat {
                                 continue;
                             }
                             // An agent tells its proxy whole ones.
--- a/crates/feed-follow/src/view/mod.rs
+++ b/crates/feed-follow/src/view/mod.rs
@@ -86,7 +86,7 @@
             // The link makes it whole; alone it says nothing.
             FeedItem::ConfigPatch { .. } => false,
             FeedItem::Current => !std::mem::replace(&mut self.current, true),
-            FeedItem::Beat => false,
+            FeedItem::Heartbeat => false,
             FeedItem::Trial { index, trial } => {
                 let newer = self.trial.as_ref().is_none_or(|o| *index > o.index);
                 if newer {
--- a/crates/inner-protocol/src/cells/calls.rs
+++ b/crates/inner-protocol/src/cells/calls.rs
@@ -1,5 +1,5 @@
 //! What a cell is asked by other cells and processes, and what it answers.
-use super::{CellStatus, Change, Member, Msg, Outcome, TrialAsk, TrialReport};
+use super::{CellStatus, Change, Member, Msg, Outcome, TrialReport, TrialRequest};
 use crate::feed::ZoneTable;
 use crate::prelude::*;
 use crate::stores::StoreStatus;
@@ -52,10 +52,12 @@
         /// Its name.
         store: String,
         /// Nothing is ordered.
-        ask_only: bool,
+        #[serde(rename = "ask_only")]
+        query_only: bool,
     },
     /// What `doctor` asks.
-    Tell,
+    #[serde(rename = "Tell")]
+    Status,
     /// One way: what nodes counted of a routing trial, passed on by the cell that they follow: to the
     /// leader, or by the leader to another cell.
     Outcomes {
@@ -65,7 +67,7 @@
     /// About the routing trial.
     Trial {
         /// The order or question.
-        ask: TrialAsk,
+        ask: TrialRequest,
     },
     /// A call whose caller waits for so many milliseconds more; it isn't carried out after that.
     Within {
@@ -89,7 +91,7 @@
     Retire(RetireState),
     /// This cell can't do it now (no leader, cut off, or being left).
     Unable,
-    /// The answer to `Tell`.
+    /// The answer to `CellCall::Status`.
     Status(Box<CellStatus>),
     /// The routing trial; none when there never was one.
     Trial(Option<Box<TrialReport>>),
--- a/crates/inner-protocol/src/cells/mod.rs
+++ b/crates/inner-protocol/src/cells/mod.rs
@@ -13,4 +13,4 @@
 pub use membership::{Member, Membership};
 pub use messages::Msg;
 pub use status::{CellStatus, StoreSummary, ZoneSummary};
-pub use trial::{TrialAsk, TrialReport};
+pub use trial::{TrialReport, TrialRequest};
--- a/crates/inner-protocol/src/cells/trial.rs
+++ b/crates/inner-protocol/src/cells/trial.rs
@@ -3,7 +3,7 @@
 
 /// What an operator asks of the routing trial. A start and a stop are answered with an outcome.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum TrialAsk {
+pub enum TrialRequest {
     /// Begins a trial.
     Start {
         /// What is tried.
@@ -15,7 +15,8 @@
         at_once: bool,
     },
     /// Answered by the leader, which has all reports.
-    Tell,
+    #[serde(rename = "Tell")]
+    Report,
 }
 
 /// The trial that runs, or the last one. While it runs, `verdict` and `evidence` are of this moment.
--- a/crates/inner-protocol/src/feed.rs
+++ b/crates/inner-protocol/src/feed.rs
@@ -77,7 +77,8 @@
     /// All that was sent before is confirmed current by a majority of the core.
     Current,
     /// The cell is still followed by, or follows, a majority.
-    Beat,
+    #[serde(rename = "Beat")]
+    Heartbeat,
     /// The routing trial that runs, or the last one, by log index, without its evidence.
     Trial {
         /// The log index that brought it.
--- a/crates/inner-protocol/src/stores/history.rs
+++ b/crates/inner-protocol/src/stores/history.rs
@@ -152,7 +152,7 @@
     }
 
     /// Whether some placement that history may depend on assigned a program to a store.
-    pub fn ever_kept(&self, id: u64, key: u64) -> bool {
+    pub fn ever_assigned(&self, id: u64, key: u64) -> bool {
         (0..self.placements.len())
             .any(|at| self.placements[at].has(id) && self.in_group(at, id, key))
     }
--- a/crates/inner-protocol/src/stores/mod.rs
+++ b/crates/inner-protocol/src/stores/mod.rs
@@ -30,9 +30,9 @@
     /// Which engine answered, for the session-cache index of another proxy.
     #[serde(rename = "e")]
     pub engine: String,
-    /// Tokens of the whole line after this turn.
+    /// Tokens of the whole session after this turn.
     #[serde(rename = "l")]
-    pub line_tokens: u32,
+    pub session_tokens: u32,
     /// How long it is to be kept from when it is given.
     #[serde(rename = "k")]
     pub keep_ms: u64,
@@ -60,11 +60,13 @@
 
 /// Whether a store has a turn.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Held {
+pub enum TurnLookup {
     /// It has not.
-    No,
+    #[serde(rename = "No")]
+    Missing,
     /// The turn is here; the chain's ids, oldest first, itself last.
-    Yes(Vec<String>),
+    #[serde(rename = "Yes")]
+    Found(Vec<String>),
 }
 
 /// The answer to an `OpenCall`.
@@ -84,7 +86,7 @@
     pub later: Option<u64>,
     /// Whether the turn before is here.
     #[serde(rename = "h")]
-    pub held: Held,
+    pub lookup: TurnLookup,
     /// The chain's turns, where they were wanted.
     #[serde(rename = "t")]
     pub turns: Vec<TurnRecord>,
@@ -165,7 +167,8 @@
         write: LedgerWrite,
     },
     /// The same without an answer, under any set: settlements, stops, releases.
-    Note {
+    #[serde(rename = "Note")]
+    Notify {
         /// The program.
         program: String,
         /// The write.
@@ -180,7 +183,8 @@
         set: StoreSet,
     },
     /// What `doctor` asks.
-    Tell,
+    #[serde(rename = "Tell")]
+    Status,
 }
 
 /// What a store answers.
@@ -195,7 +199,8 @@
         /// This store has the complete history of all its programs: its no counts.
         caught_up: bool,
         /// Whether the turn is here.
-        held: Held,
+        #[serde(rename = "held")]
+        lookup: TurnLookup,
         /// The chain's turns.
         turns: Vec<TurnRecord>,
     },
@@ -218,7 +223,7 @@
     Sync(SyncReply),
     /// The set doesn't have this store.
     Unable,
-    /// To `Tell`.
+    /// To `StoreCall::Status`.
     Status {
         /// Its machine's name.
         name: String,
--- a/crates/request-proxy/src/app/feed.rs
+++ b/crates/request-proxy/src/app/feed.rs
@@ -91,7 +91,7 @@
             FeedItem::ConfigPatch { .. }
             | FeedItem::Cells { .. }
             | FeedItem::Current
-            | FeedItem::Beat => {}
+            | FeedItem::Heartbeat => {}
         }
     }
 }
--- a/crates/request-proxy/src/flow/turn.rs
+++ b/crates/request-proxy/src/flow/turn.rs
@@ -237,7 +237,7 @@
                         input: ByteBuf::from(turn.input.to_vec()),
                         output: ByteBuf::new(),
                         engine: write_answered_by(&g.id, mark),
-                        line_tokens: turn.tokens.0,
+                        session_tokens: turn.tokens.0,
                         keep_ms: job.route.retention.as_millis() as u64,
                     },
                     chain: opened.chain.clone(),
--- a/crates/request-proxy/src/turns/attempts.rs
+++ b/crates/request-proxy/src/turns/attempts.rs
@@ -133,7 +133,7 @@
 
     pub(super) fn note(&self, program: &str, w: &LedgerWrite) {
         let set = self.set();
-        let q = StoreCall::Note { program: program.to_string(), write: w.clone() };
+        let q = StoreCall::Notify { program: program.to_string(), write: w.clone() };
         for e in self.row(&set, program) {
             self.link(&e.addr).caller.tell(&q);
         }
--- a/crates/request-proxy/src/turns/closing.rs
+++ b/crates/request-proxy/src/turns/closing.rs
@@ -58,8 +58,9 @@
         loop {
             let set = self.set();
             if set.placed() > 0 {
-                let note =
-                    settle.clone().map(|write| StoreCall::Note { program: program.clone(), write });
+                let note = settle
+                    .clone()
+                    .map(|write| StoreCall::Notify { program: program.clone(), write });
                 if self.close_under(&set, &kept, note.as_ref(), until).await {
                     locked(&self.cache).put(record.clone(), Some(Instant::now()));
                     return true;
--- a/crates/request-proxy/src/turns/finding.rs
+++ b/crates/request-proxy/src/turns/finding.rs
@@ -33,8 +33,8 @@
                 OpenStep::Wait | OpenStep::Search => {}
             }
             match work.next().await {
-                Some((at, Ok(StoreReply::Found { caught_up, held, turns }))) => {
-                    ledger.take(at, caught_up, true, (held, turns));
+                Some((at, Ok(StoreReply::Found { caught_up, lookup, turns }))) => {
+                    ledger.take(at, caught_up, true, (lookup, turns));
                 }
                 Some((_, Ok(StoreReply::Stale(newer)))) => {
                     self.learn(newer);
--- a/crates/request-proxy/src/turns/open.rs
+++ b/crates/request-proxy/src/turns/open.rs
@@ -80,21 +80,27 @@
 
     /// Takes a store's answer; `counts` tells that it knows the program whole and granted the claim,
     /// `wanted` that it was to bring the chain along.
-    pub fn take(&mut self, store: u64, counts: bool, wanted: bool, r: (Held, Vec<TurnRecord>)) {
-        let (held, turns) = r;
+    pub fn take(
+        &mut self,
+        store: u64,
+        counts: bool,
+        wanted: bool,
+        r: (TurnLookup, Vec<TurnRecord>),
+    ) {
+        let (lookup, turns) = r;
         match counts {
             true => self.answered += 1,
             false => self.failed += 1,
         }
-        match held {
-            Held::Yes(ids) => {
+        match lookup {
+            TurnLookup::Found(ids) => {
                 // One that says no has brought nothing, and may hold turns before this one.
                 if wanted {
                     self.asked.push(store);
                 }
                 self.yes.push((store, ids));
             }
-            Held::No => self.said_no += usize::from(counts),
+            TurnLookup::Missing => self.said_no += usize::from(counts),
         }
         self.bring(turns);
     }
--- a/crates/request-proxy/src/turns/opening.rs
+++ b/crates/request-proxy/src/turns/opening.rs
@@ -168,7 +168,7 @@
                         tally.take(id, o, r.view);
                     }
                     let wanted = ids.first() == Some(&id);
-                    ledger.take(id, r.has_complete_history && granted, wanted, (r.held, r.turns));
+                    ledger.take(id, r.has_complete_history && granted, wanted, (r.lookup, r.turns));
                     if !(r.has_complete_history && granted) {
                         work.extend(rest.drain(..).map(|(i, e)| call(i, e, previous)));
                     }
--- a/crates/request-proxy/tests/open.rs
+++ b/crates/request-proxy/tests/open.rs
@@ -9,17 +9,17 @@
         input: ByteBuf::from(vec![1; 500]),
         output: ByteBuf::new(),
         engine: String::new(),
-        line_tokens: 0,
+        session_tokens: 0,
         keep_ms: 1000,
     }
 }
 
 fn no(l: &mut OpenLedger, store: u64, counts: bool) {
-    l.take(store, counts, false, (Held::No, Vec::new()));
+    l.take(store, counts, false, (TurnLookup::Missing, Vec::new()));
 }
 
-fn yes(ids: &[&str]) -> Held {
-    Held::Yes(ids.iter().map(|s| s.to_string()).collect())
+fn yes(ids: &[&str]) -> TurnLookup {
+    TurnLookup::Found(ids.iter().map(|s| s.to_string()).collect())
 }
 
 #[test]
@@ -64,7 +64,7 @@
 #[test]
 fn a_store_that_said_no_is_still_asked_for_the_turns_before() {
     let mut l = OpenLedger::new(3, 2, true);
-    l.take(1, true, true, (Held::No, Vec::new()));
+    l.take(1, true, true, (TurnLookup::Missing, Vec::new()));
     l.take(3, true, false, (yes(&["a", "b"]), Vec::new()));
     assert_eq!(l.step(&[1, 2, 3]), OpenStep::Fetch(3, vec!["a".into(), "b".into()]));
     l.bring(vec![turn("b", &["a"])]);
--- a/crates/spokebank/tests/settings_reload.rs
+++ b/crates/spokebank/tests/settings_reload.rs
@@ -230,7 +230,7 @@
 
 async fn status(net: &Net, host: u8) -> Option<CellStatus> {
     let cell = Caller::new(net.inner(host, CELL_PORT));
-    match cell.call(&CellCall::Tell, Duration::from_secs(1)).await {
+    match cell.call(&CellCall::Status, Duration::from_secs(1)).await {
         Ok(CellReply::Status(t)) => Some(*t),
         _ => None,
     }
@@ -238,7 +238,7 @@
 
 async fn store_version(net: &Net, host: u8) -> u64 {
     let store = Caller::new(net.inner(host, STORE_PORT));
-    match store.call(&StoreCall::Tell, Duration::from_secs(1)).await {
+    match store.call(&StoreCall::Status, Duration::from_secs(1)).await {
         Ok(StoreReply::Status { version, .. }) => version,
         _ => 0,
     }
--- a/crates/stand-ins/tests/landed_versions.rs
+++ b/crates/stand-ins/tests/landed_versions.rs
@@ -5,7 +5,7 @@
 //! with turns of two programs, settled and unsettled attempts; a cell with 280 configurations, a store set, a
 //! retirement and a routing trial; and a frame of each kind (`frames.txt`: name and hex).
 use agreement::prelude::LogPosition;
-use control_cell::prelude::{CellHandle, TrialAsk};
+use control_cell::prelude::{CellHandle, TrialRequest};
 use dispatcher::prelude::{Call, CallPoint, NewAttempt, Pinned};
 use inner_protocol::cells::*;
 use inner_protocol::feed::*;
@@ -152,7 +152,7 @@
     let retired = cell.retire("storage-2".into(), true, soon()).await;
     assert!(matches!(retired, CellReply::Retire(RetireState::Running)), "{retired:?}");
     let Some(CellReply::Trial(Some(trial))) =
-        cell.answer(CellCall::Trial { ask: TrialAsk::Tell }).await
+        cell.answer(CellCall::Trial { ask: TrialRequest::Report }).await
     else {
         panic!("no trial");
     };
@@ -228,7 +228,7 @@
         input: ByteBuf::from(b"in".to_vec()),
         output: ByteBuf::from(b"out\n".to_vec()),
         engine: "i-1".into(),
-        line_tokens: 12,
+        session_tokens: 12,
         keep_ms: 60_000,
     }
 }
@@ -305,7 +305,7 @@
         outcome: Some(WriteOutcome::Claimed { number: 1 }),
         view: ProgramView::default(),
         later: Some(6),
-        held: Held::Yes(vec!["t1".into()]),
+        lookup: TurnLookup::Found(vec!["t1".into()]),
         turns: vec![turn()],
     };
     let membership = Membership {
@@ -370,14 +370,14 @@
         ),
         (
             "store-call-note-release",
-            encode(&StoreCall::Note {
+            encode(&StoreCall::Notify {
                 program: "p".into(),
                 write: LedgerWrite::Release { req: 1, epoch },
             }),
         ),
         (
             "store-call-note-stopped",
-            encode(&StoreCall::Note {
+            encode(&StoreCall::Notify {
                 program: "p".into(),
                 write: LedgerWrite::ConfirmStopped {
                     req: 1,
@@ -391,12 +391,16 @@
             encode(&StoreCall::Sync(SyncCall { version: 4, me: 9, after: Some("p".into()) })),
         ),
         ("store-call-learn", encode(&StoreCall::Learn { set: store_set() })),
-        ("store-call-tell", encode(&StoreCall::Tell)),
+        ("store-call-tell", encode(&StoreCall::Status)),
         ("store-reply-open", encode(&StoreReply::Open(open_reply))),
         ("store-reply-turns", encode(&StoreReply::Turns(vec![turn()]))),
         (
             "store-reply-found",
-            encode(&StoreReply::Found { caught_up: true, held: Held::No, turns: vec![] }),
+            encode(&StoreReply::Found {
+                caught_up: true,
+                lookup: TurnLookup::Missing,
+                turns: vec![],
+            }),
         ),
         ("store-reply-done", encode(&StoreReply::Done)),
         ("store-reply-lacks", encode(&StoreReply::Lacks(vec!["t1".into()]))),
@@ -480,9 +484,12 @@
         ("cell-call-table", encode(&CellCall::Table { table: table() })),
         (
             "cell-call-retire",
-            encode(&CellCall::Retire { store: "storage-3".into(), ask_only: true }),
+            encode(&CellCall::Retire { store: "storage-3".into(), query_only: true }),
+        ),
+        (
+            "cell-call-within",
+            encode(&CellCall::Within { ms: 850, call: Box::new(CellCall::Status) }),
         ),
-        ("cell-call-within", encode(&CellCall::Within { ms: 850, call: Box::new(CellCall::Tell) })),
         ("cell-reply-done", encode(&CellReply::Done)),
         ("cell-reply-outcome", encode(&CellReply::Outcome(Outcome::Conflict))),
         ("cell-reply-index", encode(&CellReply::Index(12))),
@@ -514,6 +521,6 @@
             }),
         ),
         ("feed-current", numbered(FeedItem::Current)),
-        ("feed-heartbeat", numbered(FeedItem::Beat)),
+        ("feed-heartbeat", numbered(FeedItem::Heartbeat)),
     ]
 }
--- a/crates/stand-ins/tests/routing_trial.rs
+++ b/crates/stand-ins/tests/routing_trial.rs
@@ -4,7 +4,7 @@
 use routing_trial::prelude::{arm_of, Arm, Breach};
 use stand_ins::prelude::*;
 use std::sync::LazyLock;
-use trial_tool::prelude::{ask_cells, CellReply, TrialAsk, TrialReport};
+use trial_tool::prelude::{ask_cells, CellReply, TrialReport, TrialRequest};
 
 static NET: LazyLock<Network> = LazyLock::new(|| Network::new("trial"));
 
@@ -67,7 +67,7 @@
 }
 
 async fn status(settings: &NodeSettings) -> Option<Box<TrialReport>> {
-    match ask_cells(settings, TrialAsk::Tell).await {
+    match ask_cells(settings, TrialRequest::Report).await {
         Ok(CellReply::Trial(t)) => t,
         _ => None,
     }
--- a/crates/stand-ins/tests/store_schedules/closing.rs
+++ b/crates/stand-ins/tests/store_schedules/closing.rs
@@ -41,7 +41,7 @@
             input: ByteBuf::from(vec![ask.req as u8]),
             output: ByteBuf::new(),
             engine: String::new(),
-            line_tokens: 0,
+            session_tokens: 0,
             keep_ms: 3_600_000,
         };
         Close {
--- a/crates/stand-ins/tests/store_schedules/opening.rs
+++ b/crates/stand-ins/tests/store_schedules/opening.rs
@@ -175,7 +175,7 @@
                     if r.has_complete_history {
                         tally.take(*id, &outcome, r.view);
                     }
-                    ledger.take(*id, counts, want, (r.held, r.turns));
+                    ledger.take(*id, counts, want, (r.lookup, r.turns));
                 }
                 _ => ledger.fail(),
             }
@@ -216,8 +216,8 @@
         for id in &ids {
             let q = StoreCall::Find { version: set.version, id: previous.unwrap_or("").into() };
             match self.call_under(proxy, set, *id, q) {
-                Some(StoreReply::Found { caught_up, held, turns }) => {
-                    ledger.take(*id, caught_up, true, (held, turns));
+                Some(StoreReply::Found { caught_up, lookup, turns }) => {
+                    ledger.take(*id, caught_up, true, (lookup, turns));
                 }
                 _ => ledger.fail(),
             }
--- a/crates/stand-ins/tests/store_schedules/world.rs
+++ b/crates/stand-ins/tests/store_schedules/world.rs
@@ -233,7 +233,7 @@
             Event::Closes { close, attempt, store } => self.closes_at(close, attempt, store),
             Event::CloseAgain { close } => self.close_again(close),
             Event::Noted { store, program, write } => {
-                self.call(store, StoreCall::Note { program, write });
+                self.call(store, StoreCall::Notify { program, write });
             }
             _ => {}
         }
--- a/crates/trial-tool/src/ask/mod.rs
+++ b/crates/trial-tool/src/ask/mod.rs
@@ -5,8 +5,8 @@
 
 /// Asks the cells that the settings name, one after the other, until one can answer. A cell that was
 /// reached and then fell silent may have done what was asked, so a start or a stop isn't asked again.
-pub async fn ask_cells(settings: &NodeSettings, ask: TrialAsk) -> NodeResult<CellReply> {
-    let reads = matches!(ask, TrialAsk::Tell);
+pub async fn ask_cells(settings: &NodeSettings, ask: TrialRequest) -> NodeResult<CellReply> {
+    let reads = matches!(ask, TrialRequest::Report);
     let call = CellCall::Trial { ask };
     for seed in &settings.seeds {
         let addr = settings.inner_addr(&seed.ip().to_string(), CELL_PORT);
--- a/crates/trial-tool/src/lib.rs
+++ b/crates/trial-tool/src/lib.rs
@@ -55,7 +55,7 @@
         Err(code) => return Ok(code),
     };
     let done = format!("trial {} runs", spec.id);
-    let r = ask_cells(settings, TrialAsk::Start { spec }).await?;
+    let r = ask_cells(settings, TrialRequest::Start { spec }).await?;
     Ok(agreed(
         r,
         &done,
@@ -64,12 +64,12 @@
 }
 
 pub async fn stop(settings: &NodeSettings, at_once: bool) -> NodeResult<i32> {
-    let r = ask_cells(settings, TrialAsk::Stop { at_once }).await?;
+    let r = ask_cells(settings, TrialRequest::Stop { at_once }).await?;
     Ok(agreed(r, "stopped", "no trial runs"))
 }
 
 async fn status(settings: &NodeSettings) -> NodeResult<Option<Box<TrialReport>>> {
-    match ask_cells(settings, TrialAsk::Tell).await? {
+    match ask_cells(settings, TrialRequest::Report).await? {
         CellReply::Trial(t) => Ok(t),
         _ => Err(NodeError::Other { reason: "the cells could not tell".into() }),
     }
--- a/crates/turn-store/src/history/mod.rs
+++ b/crates/turn-store/src/history/mod.rs
@@ -127,6 +127,6 @@
     /// Whether a store keeps a program, or kept it under a placement that history may depend on: by what
     /// it is given of these it can vouch for all those placements as well.
     pub fn keeps(&self, store: u64, key: u64) -> bool {
-        self.set.ever_kept(store, key)
+        self.set.ever_assigned(store, key)
     }
 }
--- a/crates/turn-store/src/tables/calls.rs
+++ b/crates/turn-store/src/tables/calls.rs
@@ -19,9 +19,9 @@
             StoreCall::Open(o) => self.open(o, now, log),
             StoreCall::Fetch { ids } => StoreReply::Turns(self.records(&ids)),
             StoreCall::Find { id, .. } => {
-                let (held, turns) = self.chain(&id, true, now);
+                let (lookup, turns) = self.chain(&id, true, now);
                 let caught_up = self.history.is_caught_up();
-                StoreReply::Found { caught_up, held, turns }
+                StoreReply::Found { caught_up, lookup, turns }
             }
             StoreCall::Close { record, earlier, settle, .. } => {
                 self.close(record, earlier, settle, now, log)
@@ -31,14 +31,14 @@
                 let has_complete_history = self.has_complete_history(&program);
                 StoreReply::Written { has_complete_history, outcome }
             }
-            StoreCall::Note { program, write } => {
+            StoreCall::Notify { program, write } => {
                 self.write(&program, &write, now, log);
                 StoreReply::Done
             }
             StoreCall::Sync(q) => self.sync(q),
             // The owner takes it.
             StoreCall::Learn { .. } => StoreReply::Done,
-            StoreCall::Tell => self.status(),
+            StoreCall::Status => self.status(),
         }
     }
 
@@ -66,12 +66,12 @@
                 .get(&o.program)
                 .map_or_else(ProgramView::default, |p| p.ledger.view(now, &self.lives)),
         };
-        let (held, turns) = match &o.prev {
-            None => (Held::No, Vec::new()),
+        let (lookup, turns) = match &o.prev {
+            None => (TurnLookup::Missing, Vec::new()),
             Some(id) => self.chain(id, o.want, now),
         };
         let has_complete_history = self.has_complete_history(&o.program);
-        StoreReply::Open(OpenReply { has_complete_history, outcome, view, later, held, turns })
+        StoreReply::Open(OpenReply { has_complete_history, outcome, view, later, lookup, turns })
     }
 
     /// Keeps a turn with its whole chain, or nothing: a store that kept a turn without those before it
@@ -141,9 +141,9 @@
     }
 
     /// Whether a turn is here, and its chain's turns where they are wanted.
-    fn chain(&self, id: &str, want: bool, now: Duration) -> (Held, Vec<TurnRecord>) {
+    fn chain(&self, id: &str, want: bool, now: Duration) -> (TurnLookup, Vec<TurnRecord>) {
         let Some(row) = self.turns.get(id).filter(|r| r.until > now) else {
-            return (Held::No, Vec::new());
+            return (TurnLookup::Missing, Vec::new());
         };
         let mut ids = row.record.chain.clone();
         ids.push(id.to_string());
@@ -151,7 +151,7 @@
             true => self.records(&ids),
             false => Vec::new(),
         };
-        (Held::Yes(ids), turns)
+        (TurnLookup::Found(ids), turns)
     }
 
     fn status(&self) -> StoreReply {
--- a/crates/turn-store/tests/common/mod.rs
+++ b/crates/turn-store/tests/common/mod.rs
@@ -39,7 +39,7 @@
         input: ByteBuf::from(b"in".to_vec()),
         output: ByteBuf::from(b"out\n".to_vec()),
         engine: "i".into(),
-        line_tokens: 1,
+        session_tokens: 1,
         keep_ms: 60_000,
     }
 }
--- a/crates/turn-store/tests/disk.rs
+++ b/crates/turn-store/tests/disk.rs
@@ -39,7 +39,7 @@
         input: ByteBuf::from(vec![number as u8; 20]),
         output: ByteBuf::from(b"out\n".to_vec()),
         engine: "i".into(),
-        line_tokens: 1,
+        session_tokens: 1,
         keep_ms: 60_000,
     })
 }
--- a/crates/turn-store/tests/long_programs.rs
+++ b/crates/turn-store/tests/long_programs.rs
@@ -13,10 +13,10 @@
 
 fn holds_whole_chain(tables: &mut StoreTables, id: &str, now: Duration) -> bool {
     let find = StoreCall::Find { version: 1, id: id.into() };
-    let StoreReply::Found { held, turns, .. } = tables.call(find, now, &mut Vec::new()) else {
+    let StoreReply::Found { lookup, turns, .. } = tables.call(find, now, &mut Vec::new()) else {
         return false;
     };
-    matches!(held, Held::Yes(ids) if ids.len() == turns.len())
+    matches!(lookup, TurnLookup::Found(ids) if ids.len() == turns.len())
 }
 
 /// Two turns of one program were kept by different stores of its group. The first was forgotten by the one
--- a/crates/turn-store/tests/tables.rs
+++ b/crates/turn-store/tests/tables.rs
@@ -28,7 +28,7 @@
         assert!(matches!(t.call(q, at(1), &mut log), StoreReply::Done));
     }
     let StoreReply::Open(o) = t.call(open(1, 9, 50, Some("c")), at(2), &mut log) else { panic!() };
-    assert!(matches!(&o.held, Held::Yes(ids) if ids == &["a", "b", "c"]));
+    assert!(matches!(&o.lookup, TurnLookup::Found(ids) if ids == &["a", "b", "c"]));
     assert!(o.has_complete_history);
     assert_eq!(o.turns.len(), 3);
     assert!(matches!(o.outcome, Some(WriteOutcome::Claimed { .. })));
@@ -62,10 +62,10 @@
     let mut log = Vec::new();
     t.call(close(record("old", "a", &[]), Vec::new()), NOW, &mut log);
     let find = StoreCall::Find { version: 1, id: "a".into() };
-    let StoreReply::Found { caught_up, held, turns } = t.call(find, NOW, &mut log) else {
+    let StoreReply::Found { caught_up, lookup, turns } = t.call(find, NOW, &mut log) else {
         panic!()
     };
-    assert!(caught_up && matches!(held, Held::Yes(_)) && turns.len() == 1);
+    assert!(caught_up && matches!(lookup, TurnLookup::Found(_)) && turns.len() == 1);
     // Another store, which only keeps the new program.
     let mut other = tables(FOUNDER);
     let mut log = Vec::new();
@@ -132,7 +132,7 @@
                 } else {
                     settled.entry(req).or_insert(tokens);
                     let write = settle(req, None, tokens);
-                    t.call(StoreCall::Note { program: "p".into(), write }, NOW, &mut log);
+                    t.call(StoreCall::Notify { program: "p".into(), write }, NOW, &mut log);
                 }
             }
             let rows = |t: &mut StoreTables| {
