--- a/crates/dispatcher/src/ledger/apply.rs
+++ b/crates/dispatcher/src/ledger/apply.rs
@@ -20,7 +20,12 @@
 impl ProgramLedger {
     /// Applies a write at this store's elapsed time `now`. Repeats change nothing. What `log` holds
     /// must be on disk before the outcome is told.
-    pub fn apply(&mut self, w: &LedgerWrite, now: Duration, lives: &Lives) -> Applied {
+    pub fn apply(
+        &mut self,
+        w: &LedgerWrite,
+        now: Duration,
+        incarnations: &Incarnations,
+    ) -> Applied {
         match w {
             LedgerWrite::Claim { attempt, lease } => self.claim(attempt, *lease, now),
             LedgerWrite::Mark { req, epoch, send, engine } => {
@@ -40,7 +45,7 @@
                 };
                 let mut part = AttemptRecord::stub(*req);
                 (part.line, part.most) = (*line, *most);
-                self.recover(part, s, *lease, now, lives)
+                self.recover(part, s, *lease, now, incarnations)
             }
             LedgerWrite::Release { req, epoch } => refused(self.release(*req, *epoch)),
             LedgerWrite::Settle { req, epoch, tokens, stopped, call } => {
@@ -145,7 +150,7 @@
         s: Segment,
         lease: Duration,
         now: Duration,
-        lives: &Lives,
+        incarnations: &Incarnations,
     ) -> Applied {
         let req = part.req;
         if let Some(row) = self.rows.get(&req) {
@@ -157,7 +162,7 @@
             if s.epoch <= r.epoch() && !again {
                 return refused(WriteOutcome::Fenced { epoch: r.epoch() });
             }
-            if !again && !has_lapsed(row, now, lives) {
+            if !again && !has_lapsed(row, now, incarnations) {
                 return refused(WriteOutcome::Held);
             }
             part.join(r);
--- a/crates/dispatcher/src/ledger/lives.rs
+++ b/crates/dispatcher/src/ledger/incarnations.rs
@@ -4,11 +4,11 @@
 /// Invariant: only a strictly greater incarnation proves that an earlier life has ended; a lower or
 /// unknown one proves nothing.
 #[derive(Debug, Clone, Default)]
-pub struct Lives {
+pub struct Incarnations {
     newest: HashMap<u64, u64>,
 }
 
-impl Lives {
+impl Incarnations {
     /// A node spoke as this incarnation of itself.
     pub fn saw(&mut self, node: u64, incarnation: u64) {
         let i = self.newest.entry(node).or_insert(incarnation);
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/ledger/mod.rs
@@ -1,9 +1,9 @@
 //! One program's attempts at one store.
 mod apply;
-mod lives;
+mod incarnations;
 
 use crate::prelude::*;
-pub use lives::Lives;
+pub use incarnations::Incarnations;
 
 /// What a replica knows by itself, in its own elapsed time; neither logged nor copied.
 struct Local {
@@ -56,7 +56,7 @@
     }
 
     /// What a reply to a claim carries.
-    pub fn view(&self, now: Duration, lives: &Lives) -> ProgramView {
+    pub fn view(&self, now: Duration, incarnations: &Incarnations) -> ProgramView {
         let mut v = ProgramView::default();
         for row in self.rows.values() {
             let r = &row.record;
@@ -76,7 +76,7 @@
                 call: r.call.clone(),
                 settlement: r.settlement,
                 stop: r.stop,
-                lapsed: !r.is_settled() && has_lapsed(row, now, lives),
+                lapsed: !r.is_settled() && has_lapsed(row, now, incarnations),
                 passed: self.has_passed(row, now),
             });
         }
@@ -113,7 +113,7 @@
 }
 
 /// Expired, released, or its node is known in a later life.
-fn has_lapsed(row: &Row, now: Duration, lives: &Lives) -> bool {
-    let ended = row.record.holder().is_some_and(|(n, i)| lives.has_ended(n, i));
+fn has_lapsed(row: &Row, now: Duration, incarnations: &Incarnations) -> bool {
+    let ended = row.record.holder().is_some_and(|(n, i)| incarnations.has_ended(n, i));
     ended || row.local.until.is_none_or(|u| now >= u)
 }
--- a/crates/dispatcher/src/prelude.rs
+++ b/crates/dispatcher/src/prelude.rs
@@ -1,5 +1,5 @@
 //! The one module every file of this package imports.
-pub use crate::ledger::{Lives, ProgramLedger};
+pub use crate::ledger::{Incarnations, ProgramLedger};
 pub use crate::node::{
     ClaimDecision, ClaimTally, Evidence, Hold, Limits, RecoverDecision, RecoverTally, Reread, Scope,
 };
--- a/crates/dispatcher/tests/laws.rs
+++ b/crates/dispatcher/tests/laws.rs
@@ -81,7 +81,9 @@
                 let mut mine: Vec<AttemptRecord> = Vec::new();
                 for t in 0..u.int_in_range(1..=24u64)? {
                     let w = write(u)?;
-                    mine.extend(l.apply(&w, Duration::from_secs(t * 30), &Lives::default()).log);
+                    mine.extend(
+                        l.apply(&w, Duration::from_secs(t * 30), &Incarnations::default()).log,
+                    );
                 }
                 // The log, read in any order, gives the record.
                 let mut again = ProgramLedger::new(Limits::default());
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -58,7 +58,7 @@
 }
 
 fn put(l: &mut ProgramLedger, w: LedgerWrite, s: u64) -> WriteOutcome {
-    l.apply(&w, at(s), &Lives::default()).outcome
+    l.apply(&w, at(s), &Incarnations::default()).outcome
 }
 
 fn sent(req: u64, engine: &str) -> Option<Call> {
@@ -74,7 +74,7 @@
     let mut l = ledger();
     assert_eq!(put(&mut l, claim(1, None), 0), WriteOutcome::Claimed { number: 1 });
     assert_eq!(put(&mut l, claim(2, None), 0), WriteOutcome::Claimed { number: 2 });
-    let again = l.apply(&claim(1, None), at(1), &Lives::default());
+    let again = l.apply(&claim(1, None), at(1), &Incarnations::default());
     assert_eq!(again, Applied { outcome: WriteOutcome::Claimed { number: 1 }, log: None });
     assert_eq!(l.spent(), 200);
     let mut other = attempt(1, None);
@@ -129,18 +129,18 @@
 #[test]
 fn recovery_takes_an_end_of_the_lease_a_release_or_a_later_life() {
     let mut l = ledger();
-    let mut lives = Lives::default();
+    let mut incarnations = Incarnations::default();
     for r in 1..=3 {
         put(&mut l, claim(r, None), 0);
     }
-    lives.saw(1, 9);
-    lives.saw(1, 10);
-    assert_eq!(l.apply(&recover(1), at(1), &lives).outcome, WriteOutcome::Held);
+    incarnations.saw(1, 9);
+    incarnations.saw(1, 10);
+    assert_eq!(l.apply(&recover(1), at(1), &incarnations).outcome, WriteOutcome::Held);
     let release = LedgerWrite::Release { req: 2, epoch: first(2) };
     assert_eq!(put(&mut l, release, 1), WriteOutcome::Released);
     assert!(put(&mut l, recover(2), 1).is_granted());
-    lives.saw(1, 11);
-    assert!(l.apply(&recover(3), at(1), &lives).outcome.is_granted());
+    incarnations.saw(1, 11);
+    assert!(l.apply(&recover(3), at(1), &incarnations).outcome.is_granted());
 }
 
 #[test]
@@ -238,17 +238,17 @@
     let (call, expected_epoch) = (CallPoint(first(1), 1), first(1));
     put(&mut l, LedgerWrite::ConfirmStopped { req: 1, expected_epoch, call }, 1);
     put(&mut l, settle(1, Some(first(1)), 0, false), 2);
-    let v = l.view(at(3), &Lives::default());
+    let v = l.view(at(3), &Incarnations::default());
     assert_eq!((v.finished.0.len(), v.live.len()), (0, 1));
     let call = CallPoint::all_of(first(1));
     put(&mut l, LedgerWrite::ConfirmStopped { req: 1, expected_epoch, call }, 4);
-    assert_eq!(l.view(at(4), &Lives::default()).finished.0, [(1, 0)]);
+    assert_eq!(l.view(at(4), &Incarnations::default()).finished.0, [(1, 0)]);
 }
 
 #[test]
 fn a_restart_gives_a_whole_lease_anew_and_forgets_grants() {
     let mut l = ledger();
-    let a = l.apply(&claim(1, None), at(500), &Lives::default());
+    let a = l.apply(&claim(1, None), at(500), &Incarnations::default());
     let mut l = ledger();
     l.replay(&a.log.unwrap(), at(0));
     assert_eq!(put(&mut l, recover(1), 59), WriteOutcome::Held);
@@ -260,7 +260,7 @@
 fn the_pinned_deadline_is_told_and_the_record_stays_at_its_most() {
     let mut l = ledger();
     put(&mut l, claim(1, Some("i")), 10);
-    let passed = |l: &ProgramLedger, s| l.view(at(s), &Lives::default()).live[0].passed;
+    let passed = |l: &ProgramLedger, s| l.view(at(s), &Incarnations::default()).live[0].passed;
     assert!(!passed(&l, 16));
     assert!(passed(&l, 17));
     assert_eq!(l.spent(), 100);
@@ -275,7 +275,7 @@
         put(&mut l, settle(req, Some(first(req)), 40 + r as u32, true), 1);
     }
     put(&mut l, claim(3, Some("i-123456")), 1);
-    let v = l.view(at(2), &Lives::default());
+    let v = l.view(at(2), &Incarnations::default());
     assert_eq!((v.finished.0.len(), v.live.len()), (170, 1));
     let mut b = Vec::new();
     ciborium::into_writer(&v, &mut b).unwrap();
--- a/crates/dispatcher/tests/model/world.rs
+++ b/crates/dispatcher/tests/model/world.rs
@@ -32,7 +32,7 @@
 
 struct Store {
     ledger: ProgramLedger,
-    lives: Lives,
+    incarnations: Incarnations,
     disk: Vec<AttemptRecord>,
     unsynced: Vec<Told>,
     begun: Duration,
@@ -141,7 +141,7 @@
         for _ in 0..n {
             stores.push(Store {
                 ledger: ProgramLedger::new(LIMITS),
-                lives: Lives::default(),
+                incarnations: Incarnations::default(),
                 disk: Vec::new(),
                 unsynced: Vec::new(),
                 begun: Duration::ZERO,
@@ -332,8 +332,8 @@
     ) {
         let s = &mut self.stores[to];
         let now = s.clock(self.now);
-        s.lives.saw(from.0 as u64, from.1);
-        let mut a = s.ledger.apply(&write, now, &s.lives);
+        s.incarnations.saw(from.0 as u64, from.1);
+        let mut a = s.ledger.apply(&write, now, &s.incarnations);
         match (self.broken, &write, &a.outcome) {
             (
                 Broken::MarksNotFenced,
@@ -342,7 +342,7 @@
             ) => {
                 let mut part = AttemptRecord::stub(*req);
                 part.call = Some(Call { at: CallPoint(*epoch, *send), engine: engine.clone() });
-                a = s.ledger.apply(&LedgerWrite::Merge(part), now, &s.lives);
+                a = s.ledger.apply(&LedgerWrite::Merge(part), now, &s.incarnations);
                 a.outcome = WriteOutcome::Marked;
             }
             (Broken::MarkerForgotten, _, WriteOutcome::Recovered { most, .. }) => {
@@ -350,7 +350,7 @@
             }
             _ => {}
         }
-        let view = s.ledger.view(now, &s.lives);
+        let view = s.ledger.view(now, &s.incarnations);
         s.unsynced.push(Told { again, part: a.log, to: task, write, outcome: a.outcome, view });
         if self.broken == Broken::ToldBeforeSync {
             let last = self.stores[to].unsynced.len() - 1;
@@ -719,7 +719,7 @@
             log.swap(a, pick(u, a + 1)?);
         }
         s.begun = now;
-        s.lives = Lives::default();
+        s.incarnations = Incarnations::default();
         s.ledger = ProgramLedger::new(LIMITS);
         for part in &log {
             s.ledger.replay(part, Duration::ZERO);
--- a/crates/stand-ins/tests/store_schedules/copies.rs
+++ b/crates/stand-ins/tests/store_schedules/copies.rs
@@ -25,12 +25,12 @@
 
 impl Copies {
     /// A disk has synced a record.
-    pub fn synced(&mut self, disk: u64, l: &Logged) {
+    pub fn synced(&mut self, disk: u64, l: &LogRecord) {
         match l {
-            Logged::Turn(r) | Logged::Foreign { record: r, .. } => {
+            LogRecord::Turn(r) | LogRecord::Foreign { record: r, .. } => {
                 self.add(disk, Acknowledged::Turn(request_of(&r.id)));
             }
-            Logged::Attempt { record, .. } => {
+            LogRecord::Attempt { record, .. } => {
                 self.add(disk, Acknowledged::Claim(record.req));
                 if record.settlement.is_some() {
                     self.add(disk, Acknowledged::Settlement(record.req));
@@ -41,7 +41,7 @@
 
     /// A process has started with these records: all that was ever synced is among them, and what else had
     /// reached the disk by then is a copy as well.
-    pub fn read_back(&mut self, disk: u64, records: &[Logged]) {
+    pub fn read_back(&mut self, disk: u64, records: &[LogRecord]) {
         let synced = |disks: &Vec<u64>| disks.contains(&disk);
         let expected: Vec<Acknowledged> =
             self.disks.iter().filter(|(_, d)| synced(d)).map(|(what, _)| *what).collect();
--- a/crates/stand-ins/tests/store_schedules/leader.rs
+++ b/crates/stand-ins/tests/store_schedules/leader.rs
@@ -112,8 +112,8 @@
         if !self.stores[store].answers() {
             return;
         }
-        let learnt = self.on_disk(store, |owner, _| owner.learn(set.clone()));
-        if learnt.is_none_or(|learnt| learnt == Learnt::Old) {
+        let update = self.on_disk(store, |owner, _| owner.learn(set.clone()));
+        if update.is_none_or(|update| update == SetUpdate::Outdated) {
             return;
         }
         self.reports(store);
--- a/crates/stand-ins/tests/store_schedules/store.rs
+++ b/crates/stand-ins/tests/store_schedules/store.rs
@@ -82,7 +82,7 @@
 
     /// Power is back: its process starts with what is on the disk, and gives the records that it read. Power
     /// may be lost once more meanwhile, after so many steps.
-    pub fn starts(&mut self, now: Time, lost_again_after: Option<u64>) -> Vec<Logged> {
+    pub fn starts(&mut self, now: Time, lost_again_after: Option<u64>) -> Vec<LogRecord> {
         let identity = StoreIdentity::new(self.id, false);
         if let Some(steps) = lost_again_after {
             drop(self.disk.open_until_cut(steps, || open(&self.disk, identity)));
@@ -158,7 +158,7 @@
     StoreOwner::open(disk.handle(), Path::new(DIR), if_empty, Limits::default(), SEGMENT_BYTES)
 }
 
-fn read_log(disk: &SimulatedDisk) -> Vec<Logged> {
+fn read_log(disk: &SimulatedDisk) -> Vec<LogRecord> {
     let mut records = Vec::new();
     let log = Path::new(DIR).join("log");
     SegmentLog::open_on(disk.handle(), &log, |_, bytes| records.extend(decode(bytes))).unwrap();
--- a/crates/stand-ins/tests/store_schedules/transfer.rs
+++ b/crates/stand-ins/tests/store_schedules/transfer.rs
@@ -136,7 +136,7 @@
         self.commits(store, |owner, now, records| {
             for MissingTurn { program, id } in lacking {
                 let Some(turn) = turns.iter().find(|t| t.id == id).cloned() else { continue };
-                owner.tables.take_logged(Logged::turn_of(program, turn), now, records);
+                owner.tables.record(LogRecord::turn_of(program, turn), now, records);
             }
         })
     }
--- a/crates/stand-ins/tests/store_schedules/troubles.rs
+++ b/crates/stand-ins/tests/store_schedules/troubles.rs
@@ -123,7 +123,7 @@
     pub fn commits<T>(
         &mut self,
         store: usize,
-        work: impl FnOnce(&mut StoreOwner, Duration, &mut Vec<Logged>) -> T,
+        work: impl FnOnce(&mut StoreOwner, Duration, &mut Vec<LogRecord>) -> T,
     ) -> Option<T> {
         let mut records = Vec::new();
         let done = self.on_disk(store, |owner, now| {
--- a/crates/turn-store/src/actor/command.rs
+++ b/crates/turn-store/src/actor/command.rs
@@ -1,6 +1,14 @@
 //! What the owner of the tables is asked to do, and the way to it.
 use crate::prelude::*;
 
+/// What a store still lacks.
+pub struct MissingTransfers {
+    /// The version of the set in force.
+    pub version: u64,
+    /// The stores that have not transferred everything yet.
+    pub stores: Vec<StoreEntry>,
+}
+
 /// What the owner of the tables is asked to do.
 pub enum StoreCommand {
     /// A call of another process, and where its answer goes.
@@ -9,8 +17,8 @@
     Learn(StoreSet),
     /// Rows of another store; gives back which of their turns are not here.
     Merge(Vec<SyncRow>, oneshot::Sender<Vec<MissingTurn>>),
-    /// Turns of another store, each with the program it is kept for.
-    Keep(Vec<(String, TurnRecord)>, oneshot::Sender<()>),
+    /// Turns of another store, each with the program that it is stored for.
+    StoreTurns(Vec<(String, TurnRecord)>, oneshot::Sender<()>),
     /// A store has transferred everything under the set of this version.
     Transferred {
         /// The version of the set that both worked under.
@@ -23,7 +31,7 @@
     /// The process was told to stop.
     End,
     /// The version in force, and which stores have not transferred everything yet.
-    Missing(oneshot::Sender<(u64, Vec<StoreEntry>)>),
+    Missing(oneshot::Sender<MissingTransfers>),
 }
 
 /// The way to the owner of the tables.
@@ -43,10 +51,10 @@
     }
 
     /// Has a call answered; none when the store is ending.
-    pub async fn answer(&self, q: StoreCall) -> Option<StoreReply> {
-        let (tx, rx) = oneshot::channel();
-        self.queue.send(StoreCommand::Call(Box::new(q), tx)).await.ok()?;
-        rx.await.ok()
+    pub async fn answer(&self, call: StoreCall) -> Option<StoreReply> {
+        let (reply, answer) = oneshot::channel();
+        self.queue.send(StoreCommand::Call(Box::new(call), reply)).await.ok()?;
+        answer.await.ok()
     }
 
     /// Hands over a store set.
@@ -58,32 +66,32 @@
     pub async fn end(&self) {
         let mut released = self.released.clone();
         if self.send(StoreCommand::End).await {
-            let _ = released.wait_for(|r| *r).await;
+            let _ = released.wait_for(|released| *released).await;
         }
     }
 
-    pub(super) async fn send(&self, c: StoreCommand) -> bool {
-        self.queue.send(c).await.is_ok()
+    pub(super) async fn send(&self, command: StoreCommand) -> bool {
+        self.queue.send(command).await.is_ok()
     }
 
     /// The version in force, and which stores have not transferred everything yet.
-    pub(super) async fn missing(&self) -> Option<(u64, Vec<StoreEntry>)> {
-        let (tx, rx) = oneshot::channel();
-        self.send(StoreCommand::Missing(tx)).await;
-        rx.await.ok()
+    pub(super) async fn missing(&self) -> Option<MissingTransfers> {
+        let (reply, answer) = oneshot::channel();
+        self.send(StoreCommand::Missing(reply)).await;
+        answer.await.ok()
     }
 
     /// Takes rows of another store; gives back which of their turns are not here.
     pub(super) async fn merge(&self, rows: Vec<SyncRow>) -> Option<Vec<MissingTurn>> {
-        let (tx, rx) = oneshot::channel();
-        self.send(StoreCommand::Merge(rows, tx)).await;
-        rx.await.ok()
+        let (reply, answer) = oneshot::channel();
+        self.send(StoreCommand::Merge(rows, reply)).await;
+        answer.await.ok()
     }
 
-    /// Keeps turns of another store, each for a program; they are synced when this ends.
-    pub(super) async fn keep(&self, turns: Vec<(String, TurnRecord)>) -> Option<()> {
-        let (tx, rx) = oneshot::channel();
-        self.send(StoreCommand::Keep(turns, tx)).await;
-        rx.await.ok()
+    /// Stores turns of another store, each for a program; they are synced when this ends.
+    pub(super) async fn store_turns(&self, turns: Vec<(String, TurnRecord)>) -> Option<()> {
+        let (reply, answer) = oneshot::channel();
+        self.send(StoreCommand::StoreTurns(turns, reply)).await;
+        answer.await.ok()
     }
 }
--- a/crates/turn-store/src/actor/mod.rs
+++ b/crates/turn-store/src/actor/mod.rs
@@ -6,7 +6,7 @@
 mod segments;
 mod transfer;
 
-pub use command::{StoreCommand, StoreHandle};
+pub use command::{MissingTransfers, StoreCommand, StoreHandle};
 pub use owner::{StoreIdentity, StoreOwner};
 pub use run::{start, RunningStore};
 pub use segments::{Removal, SegmentUses};
--- a/crates/turn-store/src/actor/owner.rs
+++ b/crates/turn-store/src/actor/owner.rs
@@ -62,8 +62,8 @@
         };
         let mut tables = StoreTables::new(History::new(identity.id, identity.caught_up), limits);
         let mut unreadable = 0u64;
-        let read = |_: u64, bytes: &[u8]| match decode::<Logged>(bytes) {
-            Some(record) => tables.take(record, Duration::ZERO),
+        let read = |_: u64, bytes: &[u8]| match decode::<LogRecord>(bytes) {
+            Some(record) => tables.replay(record, Duration::ZERO),
             None => unreadable += 1,
         };
         let log = SegmentLog::open_on(disk.clone(), &dir.join(LOG), read)?;
@@ -90,10 +90,10 @@
     }
 
     /// Takes a set, perhaps a newer one, and what follows from it for this store.
-    pub fn learn(&mut self, set: StoreSet) -> NodeResult<Learnt> {
-        let learnt = self.tables.history.learn(set);
+    pub fn learn(&mut self, set: StoreSet) -> NodeResult<SetUpdate> {
+        let update = self.tables.history.learn(set);
         self.save_identity()?;
-        Ok(learnt)
+        Ok(update)
     }
 
     /// Store `from` has transferred everything, which is committed; true when this one is caught up by that.
@@ -118,11 +118,11 @@
     }
 
     /// Writes and syncs what calls have changed; only then may they be answered.
-    pub fn commit(&mut self, records: &[Logged], now: Duration) -> NodeResult<()> {
+    pub fn commit(&mut self, records: &[LogRecord], now: Duration) -> NodeResult<()> {
         if records.is_empty() {
             return Ok(());
         }
-        let kept = records.iter().filter_map(Logged::turn).map(StoreTables::keep_for).max();
+        let kept = records.iter().filter_map(LogRecord::turn).map(StoreTables::retention_of).max();
         records.iter().for_each(|record| self.log.append(&encode(record)));
         self.log.sync()?;
         // A faulty file may have sent them to a new segment.
@@ -139,7 +139,7 @@
         let Some(removal) = self.segments.removable(now, self.log.segment_no()) else {
             return Ok(());
         };
-        let owed = self.tables.written_until(removal.written_until, now);
+        let owed = self.tables.rewrite_written_until(removal.written_until, now);
         self.commit(&owed, now)?;
         if let Err(e) = self.log.drop_below(removal.below) {
             spdlog::error!("{}", e);
--- a/crates/turn-store/src/actor/run.rs
+++ b/crates/turn-store/src/actor/run.rs
@@ -1,7 +1,7 @@
 //! The owner's task: its queue of commands, its status, and its end.
-use super::command::{StoreCommand, StoreHandle};
+use super::command::{MissingTransfers, StoreCommand, StoreHandle};
 use super::owner::{StoreIdentity, StoreOwner};
-use super::transfer::sync_with_all;
+use super::transfer::transfer_from_peers;
 use crate::prelude::*;
 use node_base::settings::STORE_PORT;
 
@@ -64,7 +64,7 @@
     let (released, watch_released) = watch::channel(false);
     let handle = StoreHandle::new(queue, watch_released);
     let (due, watch_due) = watch::channel(0);
-    tokio::spawn(sync_with_all(handle.clone(), identity.id, watch_due, shared.clone()));
+    tokio::spawn(transfer_from_peers(handle.clone(), identity.id, watch_due, shared.clone()));
     let actor = Actor {
         name: settings.node_name.clone(),
         owner,
@@ -83,7 +83,7 @@
 enum PendingReply {
     Call(oneshot::Sender<StoreReply>, StoreReply),
     Merged(oneshot::Sender<Vec<MissingTurn>>, Vec<MissingTurn>),
-    Kept(oneshot::Sender<()>),
+    Stored(oneshot::Sender<()>),
 }
 
 impl PendingReply {
@@ -92,7 +92,7 @@
         match self {
             PendingReply::Call(to, reply) => drop(to.send(reply)),
             PendingReply::Merged(to, missing) => drop(to.send(missing)),
-            PendingReply::Kept(to) => drop(to.send(())),
+            PendingReply::Stored(to) => drop(to.send(())),
         }
     }
 }
@@ -100,7 +100,7 @@
 /// What was done since the last commit.
 #[derive(Default)]
 struct Batch {
-    records: Vec<Logged>,
+    records: Vec<LogRecord>,
     replies: Vec<PendingReply>,
     calls: usize,
     transfers: usize,
@@ -181,20 +181,20 @@
                 let missing = rows.into_iter().flat_map(merge).collect();
                 batch.replies.push(PendingReply::Merged(to, missing));
             }
-            StoreCommand::Keep(turns, to) => {
+            StoreCommand::StoreTurns(turns, to) => {
                 batch.transfers += 1;
                 for (program, turn) in turns {
-                    let record = Logged::turn_of(program, turn);
-                    self.owner.tables.take_logged(record, now, &mut batch.records);
+                    let record = LogRecord::turn_of(program, turn);
+                    self.owner.tables.record(record, now, &mut batch.records);
                 }
-                batch.replies.push(PendingReply::Kept(to));
+                batch.replies.push(PendingReply::Stored(to));
             }
             StoreCommand::Transferred { version, from, caught_up } => {
                 if self.owner.transferred(version, from, caught_up)? {
                     info!("caught up under store set {}", self.owner.tables.history.set.version);
                     self.report_history();
                 }
-                self.note_lost_history();
+                self.report_lost_history();
             }
             StoreCommand::End => {
                 info!("told to stop");
@@ -204,7 +204,8 @@
             }
             StoreCommand::Missing(to) => {
                 let history = &self.owner.tables.history;
-                let _ = to.send((history.set.version, history.missing()));
+                let (version, stores) = (history.set.version, history.missing());
+                let _ = to.send(MissingTransfers { version, stores });
             }
         }
         Ok(())
@@ -214,7 +215,7 @@
         &mut self,
         call: StoreCall,
         now: Duration,
-        records: &mut Vec<Logged>,
+        records: &mut Vec<LogRecord>,
     ) -> NodeResult<StoreReply> {
         if let StoreCall::Learn { set } = call {
             self.learn(set)?;
@@ -230,11 +231,11 @@
 
     fn learn(&mut self, set: StoreSet) -> NodeResult<()> {
         let version = set.version;
-        let learnt = self.owner.learn(set)?;
-        if learnt == Learnt::Old {
+        let update = self.owner.learn(set)?;
+        if update == SetUpdate::Outdated {
             return Ok(());
         }
-        info!("store set {}: {:?}", version, learnt);
+        info!("store set {}: {:?}", version, update);
         self.report_history();
         self.release();
         self.due.send_modify(|n| *n += 1);
@@ -242,7 +243,7 @@
     }
 
     /// Says once for each placement that more was lost than may be.
-    fn note_lost_history(&mut self) {
+    fn report_lost_history(&mut self) {
         let history = &self.owner.tables.history;
         let placement = history.set.placement().map_or(0, |p| p.version);
         if history.is_beyond_proof() && self.beyond_proof < placement {
--- a/crates/turn-store/src/actor/segments.rs
+++ b/crates/turn-store/src/actor/segments.rs
@@ -2,7 +2,7 @@
 use crate::prelude::*;
 
 /// How long a segment's records may matter at the least.
-pub const SEGMENT_KEPT: Duration = Duration::from_secs(240);
+pub const SEGMENT_RETENTION: Duration = Duration::from_secs(240);
 
 /// What is known of one segment.
 #[derive(Debug, Clone, Copy)]
@@ -30,13 +30,13 @@
 impl SegmentUses {
     /// Segments that were there at the start: nothing is known of when they were written.
     pub fn found(numbers: impl Iterator<Item = u64>) -> Self {
-        let found = SegmentUse { last_write: Duration::ZERO, until: SEGMENT_KEPT };
+        let found = SegmentUse { last_write: Duration::ZERO, until: SEGMENT_RETENTION };
         SegmentUses(numbers.map(|number| (number, found)).collect())
     }
 
     /// Records that are needed until `until` go into a segment.
     pub fn written(&mut self, number: u64, now: Duration, until: Duration) {
-        let until = until.max(now + SEGMENT_KEPT);
+        let until = until.max(now + SEGMENT_RETENTION);
         let used = self.0.entry(number).or_insert(SegmentUse { last_write: now, until });
         used.last_write = now;
         used.until = used.until.max(until);
--- a/crates/turn-store/src/actor/transfer.rs
+++ b/crates/turn-store/src/actor/transfer.rs
@@ -1,5 +1,5 @@
 //! Asking the other stores for what this one may lack.
-use super::command::{StoreCommand, StoreHandle};
+use super::command::{MissingTransfers, StoreCommand, StoreHandle};
 use crate::prelude::*;
 
 /// Turns asked for at once, fewer after a call that took too long.
@@ -27,7 +27,7 @@
 /// How a transfer from one store ended.
 enum TransferEnd {
     /// It has transferred everything.
-    Whole,
+    Completed,
     /// It works under a newer set, which this store has learnt by that.
     Superseded,
     /// It didn't answer, or not yet under this set.
@@ -38,15 +38,17 @@
 
 /// Asks each store of the set that has not transferred everything yet, until this store is caught up or a
 /// newer set is known. All are asked side by side; one that is away holds up nobody.
-pub async fn sync_with_all(
-    h: StoreHandle,
+pub async fn transfer_from_peers(
+    handle: StoreHandle,
     me: u64,
     mut due: watch::Receiver<u64>,
     settings: SharedSettings,
 ) {
     let mut rounds = 0;
     loop {
-        let Some((version, missing)) = h.missing().await else { return };
+        let Some(MissingTransfers { version, stores: missing }) = handle.missing().await else {
+            return;
+        };
         if missing.is_empty() {
             rounds = 0;
             if due.changed().await.is_err() {
@@ -56,16 +58,16 @@
         }
         let bounds = TransferBounds::from_catch_up(settings.now().bounds.catch_up);
         tokio::select! {
-            r = due.changed() => match r {
+            changed = due.changed() => match changed {
                 Ok(()) => rounds = 0,
                 Err(_) => return,
             },
-            _ = transfer_from(version, me, &missing, &h, bounds) => {
+            _ = transfer_from(version, me, &missing, &handle, bounds) => {
                 // Too little is proved by all that there is.
                 let pause = (bounds.pause * 2u32.pow(rounds)).min(bounds.longest_pause);
                 rounds = (rounds + 1).min(10);
                 tokio::select! {
-                    r = due.changed() => if r.is_err() { return },
+                    changed = due.changed() => if changed.is_err() { return },
                     _ = tokio::time::sleep(pause) => {}
                 }
             }
@@ -78,13 +80,13 @@
     version: u64,
     me: u64,
     missing: &[StoreEntry],
-    h: &StoreHandle,
+    handle: &StoreHandle,
     bounds: TransferBounds,
 ) {
-    let each = missing.iter().map(|e| transfer_from_one(version, me, e, h, bounds));
+    let each = missing.iter().map(|peer| transfer_from_one(version, me, peer, handle, bounds));
     let mut work: FuturesUnordered<_> = each.collect();
     while work.next().await.is_some() {
-        if h.missing().await.is_none_or(|(_, missing)| missing.is_empty()) {
+        if handle.missing().await.is_none_or(|missing| missing.stores.is_empty()) {
             return;
         }
     }
@@ -94,12 +96,12 @@
     version: u64,
     me: u64,
     from: &StoreEntry,
-    h: &StoreHandle,
+    handle: &StoreHandle,
     bounds: TransferBounds,
 ) {
     let call = TransferCall { version, me, from, caller: Caller::new(from.addr.clone()), bounds };
     let mut batch = BATCH;
-    while let TransferEnd::Failed = call.run(h, batch).await {
+    while let TransferEnd::Failed = call.run(handle, batch).await {
         batch = (batch / 4).max(1);
         tokio::time::sleep(bounds.pause).await;
     }
@@ -115,26 +117,27 @@
 }
 
 impl TransferCall<'_> {
-    async fn run(&self, h: &StoreHandle, batch: usize) -> TransferEnd {
+    async fn run(&self, handle: &StoreHandle, batch: usize) -> TransferEnd {
         let TransferCall { version, me, from, ref caller, bounds } = *self;
         let within = bounds.call;
         let mut after = None;
         loop {
-            let q = StoreCall::Sync(SyncCall { version, me, after });
-            let page = match caller.call::<_, StoreReply>(&q, within).await {
-                Ok(StoreReply::Sync(p)) => p,
+            let call = StoreCall::Sync(SyncCall { version, me, after });
+            let page = match caller.call::<_, StoreReply>(&call, within).await {
+                Ok(StoreReply::Sync(page)) => page,
                 Ok(StoreReply::Stale(set)) => {
-                    h.learn(set).await;
+                    handle.learn(set).await;
                     return TransferEnd::Superseded;
                 }
                 _ => return TransferEnd::Failed,
             };
-            let Some(lacking) = h.merge(page.rows).await else { return TransferEnd::Stopped };
+            let Some(lacking) = handle.merge(page.rows).await else { return TransferEnd::Stopped };
             for part in lacking.chunks(batch) {
-                let q = StoreCall::Fetch {
+                let call = StoreCall::Fetch {
                     ids: part.iter().map(|missing| missing.id.clone()).collect(),
                 };
-                let Ok(StoreReply::Turns(turns)) = caller.call::<_, StoreReply>(&q, within).await
+                let Ok(StoreReply::Turns(turns)) =
+                    caller.call::<_, StoreReply>(&call, within).await
                 else {
                     return TransferEnd::Failed;
                 };
@@ -143,20 +146,20 @@
                     let turn = turns.iter().find(|turn| turn.id == missing.id)?;
                     Some((missing.program.clone(), turn.clone()))
                 });
-                if h.keep(kept.collect()).await.is_none() {
+                if handle.store_turns(kept.collect()).await.is_none() {
                     return TransferEnd::Stopped;
                 }
             }
             match page.more {
-                Some(a) => after = Some(a),
+                Some(program) => after = Some(program),
                 None => {
                     let done = StoreCommand::Transferred {
                         version,
                         from: from.id,
                         caught_up: page.caught_up,
                     };
-                    return match h.send(done).await {
-                        true => TransferEnd::Whole,
+                    return match handle.send(done).await {
+                        true => TransferEnd::Completed,
                         false => TransferEnd::Stopped,
                     };
                 }
--- a/crates/turn-store/src/history/mod.rs
+++ b/crates/turn-store/src/history/mod.rs
@@ -16,15 +16,15 @@
 
 /// What follows from a newer set.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Learnt {
+pub enum SetUpdate {
     /// The set is no newer.
-    Old,
+    Outdated,
     /// Everything this store keeps it kept before.
-    Same,
+    Unchanged,
     /// It was assigned programs, or can't tell what it missed: it must ask the others.
-    Behind,
+    TransferDue,
     /// No programs are assigned to it.
-    Unplaced,
+    Unassigned,
 }
 
 impl History {
@@ -34,9 +34,9 @@
     }
 
     /// Takes a newer set.
-    pub fn learn(&mut self, set: StoreSet) -> Learnt {
+    pub fn learn(&mut self, set: StoreSet) -> SetUpdate {
         if set.version <= self.set.version {
-            return Learnt::Old;
+            return SetUpdate::Outdated;
         }
         let placed_at = |s: &StoreSet| s.placement().map(|p| p.version);
         let other = placed_at(&set) != placed_at(&self.set);
@@ -45,14 +45,14 @@
             self.transfers.clear();
         }
         if !self.is_placed() {
-            return Learnt::Unplaced;
+            return SetUpdate::Unassigned;
         }
         if self.set.may_lack_programs(self.me, self.caught_up) {
-            return Learnt::Behind;
+            return SetUpdate::TransferDue;
         }
         let to = self.set.version;
         self.caught_up = self.caught_up.map(|s| VersionSpan { to, ..s });
-        Learnt::Same
+        SetUpdate::Unchanged
     }
 
     fn is_placed(&self) -> bool {
--- a/crates/turn-store/src/prelude.rs
+++ b/crates/turn-store/src/prelude.rs
@@ -2,8 +2,8 @@
 pub use crate::actor::{
     Removal, RunningStore, SegmentUses, StoreCommand, StoreHandle, StoreIdentity, StoreOwner,
 };
-pub use crate::history::{History, Learnt};
-pub use crate::tables::{Logged, MissingTurn, StoreTables};
+pub use crate::history::{History, SetUpdate};
+pub use crate::tables::{LogRecord, MissingTurn, StoreTables};
 pub use feed_follow::prelude::{follow_cells, FeedItem, FeedUpdate, FollowSettings};
 pub use inner_protocol::prelude::*;
 pub use inner_protocol::stores::*;
--- a/crates/turn-store/src/tables/calls.rs
+++ b/crates/turn-store/src/tables/calls.rs
@@ -4,19 +4,19 @@
 
 impl StoreTables {
     /// Answers a call; what it changed is pushed to `log` and must be synced before the answer goes.
-    pub fn call(&mut self, q: StoreCall, now: Duration, log: &mut Vec<Logged>) -> StoreReply {
-        let made_under = match &q {
-            StoreCall::Open(o) => Some(o.version),
+    pub fn call(&mut self, call: StoreCall, now: Duration, log: &mut Vec<LogRecord>) -> StoreReply {
+        let made_under = match &call {
+            StoreCall::Open(open) => Some(open.version),
             StoreCall::Find { version, .. }
             | StoreCall::Close { version, .. }
             | StoreCall::Write { version, .. } => Some(*version),
             _ => None,
         };
-        if let Some(refusal) = made_under.and_then(|v| self.fenced(v)) {
+        if let Some(refusal) = made_under.and_then(|v| self.refuse_other_version(v)) {
             return refusal;
         }
-        match q {
-            StoreCall::Open(o) => self.open(o, now, log),
+        match call {
+            StoreCall::Open(open) => self.open(open, now, log),
             StoreCall::Fetch { ids } => StoreReply::Turns(self.records(&ids)),
             StoreCall::Find { id, .. } => {
                 let (lookup, turns) = self.chain(&id, true, now);
@@ -35,7 +35,7 @@
                 self.write(&program, &write, now, log);
                 StoreReply::Done
             }
-            StoreCall::Sync(q) => self.sync(q),
+            StoreCall::Sync(sync) => self.sync(sync),
             // The owner takes it.
             StoreCall::Learn { .. } => StoreReply::Done,
             StoreCall::Status => self.status(),
@@ -44,7 +44,7 @@
 
     /// Refuses what was made under another set than the one in force here, and all as long as the set
     /// doesn't have this store: the call was meant for the disk that was at this address before.
-    pub(super) fn fenced(&self, version: u64) -> Option<StoreReply> {
+    pub(super) fn refuse_other_version(&self, version: u64) -> Option<StoreReply> {
         let set = &self.history.set;
         match version.cmp(&set.version) {
             std::cmp::Ordering::Less => Some(StoreReply::Stale(set.clone())),
@@ -56,21 +56,21 @@
         }
     }
 
-    fn open(&mut self, o: OpenCall, now: Duration, log: &mut Vec<Logged>) -> StoreReply {
-        let later = self.hear(&o.claim);
-        let outcome = o.claim.as_ref().map(|w| self.write(&o.program, w, now, log));
+    fn open(&mut self, call: OpenCall, now: Duration, log: &mut Vec<LogRecord>) -> StoreReply {
+        let later = self.observe_incarnation(&call.claim);
+        let outcome = call.claim.as_ref().map(|claim| self.write(&call.program, claim, now, log));
         let view = match outcome {
             None => ProgramView::default(),
             Some(_) => self
                 .programs
-                .get(&o.program)
-                .map_or_else(ProgramView::default, |p| p.ledger.view(now, &self.lives)),
+                .get(&call.program)
+                .map_or_else(ProgramView::default, |p| p.ledger.view(now, &self.incarnations)),
         };
-        let (lookup, turns) = match &o.prev {
+        let (lookup, turns) = match &call.prev {
             None => (TurnLookup::Missing, Vec::new()),
-            Some(id) => self.chain(id, o.want, now),
+            Some(id) => self.chain(id, call.want, now),
         };
-        let has_complete_history = self.has_complete_history(&o.program);
+        let has_complete_history = self.has_complete_history(&call.program);
         StoreReply::Open(OpenReply { has_complete_history, outcome, view, later, lookup, turns })
     }
 
@@ -83,7 +83,7 @@
         earlier: Vec<TurnRecord>,
         settle: Option<LedgerWrite>,
         now: Duration,
-        log: &mut Vec<Logged>,
+        log: &mut Vec<LogRecord>,
     ) -> StoreReply {
         let brought = |id: &String| earlier.iter().any(|turn| turn.id == *id);
         let lacks = |id: &&String| !self.turns.contains_key(*id) && !brought(id);
@@ -91,45 +91,45 @@
         if !lacking.is_empty() {
             return StoreReply::Lacks(lacking);
         }
-        if let Some(w) = settle {
-            let outcome = self.write(&record.program, &w, now, log);
+        if let Some(write) = settle {
+            let outcome = self.write(&record.program, &write, now, log);
             if !outcome.is_granted() {
                 return StoreReply::Written { has_complete_history: true, outcome };
             }
         }
         for turn in earlier {
-            self.take_logged(Logged::turn_of(record.program.clone(), turn), now, log);
+            self.record(LogRecord::turn_of(record.program.clone(), turn), now, log);
         }
         self.link_chain(&record, now, log);
-        self.take_logged(Logged::Turn(record), now, log);
+        self.record(LogRecord::Turn(record), now, log);
         StoreReply::Done
     }
 
     /// Turns of the chain that are here for another program are kept for this one as well, and all of
     /// them as long as the turn.
-    fn link_chain(&mut self, record: &TurnRecord, now: Duration, log: &mut Vec<Logged>) {
-        let until = now + Self::keep_for(record);
+    fn link_chain(&mut self, record: &TurnRecord, now: Duration, log: &mut Vec<LogRecord>) {
+        let until = now + Self::retention_of(record);
         let program = self.programs.get(&record.program);
-        let held: HashSet<&str> =
+        let stored: HashSet<&str> =
             program.into_iter().flat_map(|p| &p.turns).map(|turn| turn.id.as_str()).collect();
         let mut unlinked = Vec::new();
         for id in &record.chain {
             let Some(row) = self.turns.get_mut(id) else { continue };
             row.until = row.until.max(until);
-            if !held.contains(id.as_str()) {
-                unlinked.push(Logged::turn_of(record.program.clone(), row.record.clone()));
+            if !stored.contains(id.as_str()) {
+                unlinked.push(LogRecord::turn_of(record.program.clone(), row.record.clone()));
             }
         }
         for earlier in unlinked {
-            self.take_logged(earlier, now, log);
+            self.record(earlier, now, log);
         }
     }
 
-    /// A node spoke; gives back a later life of it, if one is known.
-    fn hear(&mut self, claim: &Option<LedgerWrite>) -> Option<u64> {
+    /// Takes note of a claiming node's incarnation; gives back a later one of it, if one is known.
+    fn observe_incarnation(&mut self, claim: &Option<LedgerWrite>) -> Option<u64> {
         let Some(LedgerWrite::Claim { attempt, .. }) = claim else { return None };
-        self.lives.saw(attempt.node, attempt.incarnation);
-        self.lives.newest(attempt.node).filter(|n| *n > attempt.incarnation)
+        self.incarnations.saw(attempt.node, attempt.incarnation);
+        self.incarnations.newest(attempt.node).filter(|n| *n > attempt.incarnation)
     }
 
     fn has_complete_history(&self, program: &str) -> bool {
@@ -137,12 +137,12 @@
     }
 
     fn records(&self, ids: &[String]) -> Vec<TurnRecord> {
-        ids.iter().filter_map(|i| self.turns.get(i)).map(|r| r.record.clone()).collect()
+        ids.iter().filter_map(|id| self.turns.get(id)).map(|row| row.record.clone()).collect()
     }
 
     /// Whether a turn is here, and its chain's turns where they are wanted.
     fn chain(&self, id: &str, want: bool, now: Duration) -> (TurnLookup, Vec<TurnRecord>) {
-        let Some(row) = self.turns.get(id).filter(|r| r.until > now) else {
+        let Some(row) = self.turns.get(id).filter(|row| row.until > now) else {
             return (TurnLookup::Missing, Vec::new());
         };
         let mut ids = row.record.chain.clone();
--- a/crates/turn-store/src/tables/mod.rs
+++ b/crates/turn-store/src/tables/mod.rs
@@ -5,13 +5,13 @@
 mod transfer;
 
 use crate::prelude::*;
-use retention::LEDGER_KEPT;
+use retention::LEDGER_RETENTION;
 use rows::{Program, TurnRow};
 pub use transfer::MissingTurn;
 
 /// What goes to the log.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Logged {
+pub enum LogRecord {
     /// A turn that counts.
     #[serde(rename = "t")]
     Turn(TurnRecord),
@@ -33,25 +33,27 @@
     },
 }
 
-impl Logged {
+impl LogRecord {
     /// The turn that the record is about, if it is about one.
     pub fn turn(&self) -> Option<&TurnRecord> {
         match self {
-            Logged::Turn(record) | Logged::Foreign { record, .. } => Some(record),
-            Logged::Attempt { .. } => None,
+            LogRecord::Turn(record) | LogRecord::Foreign { record, .. } => Some(record),
+            LogRecord::Attempt { .. } => None,
         }
     }
 
     /// A turn, kept with a program that may be another than it was made for.
     pub fn turn_of(program: String, record: TurnRecord) -> Self {
         match record.program == program {
-            true => Logged::Turn(record),
-            false => Logged::Foreign { program, record },
+            true => LogRecord::Turn(record),
+            false => LogRecord::Foreign { program, record },
         }
     }
 }
 
-/// Invariants: whoever holds a turn holds its whole chain until the turn is dropped; `lives` is what this process has heard; a turn is here from the moment
+/// The turns and ledgers of one store.
+///
+/// Invariants: whoever holds a turn holds its whole chain until the turn is dropped; `incarnations` is what this process has heard; a turn is here from the moment
 /// its record was given until `until`, which is never before its retention has passed.
 pub struct StoreTables {
     /// What this store may speak for.
@@ -59,7 +61,7 @@
     turns: HashMap<String, TurnRow>,
     programs: BTreeMap<String, Program>,
     limits: Limits,
-    lives: Lives,
+    incarnations: Incarnations,
 }
 
 impl StoreTables {
@@ -70,7 +72,7 @@
             turns: HashMap::new(),
             programs: BTreeMap::new(),
             limits,
-            lives: Lives::default(),
+            incarnations: Incarnations::default(),
         }
     }
 
@@ -84,27 +86,27 @@
         self.turns.contains_key(id)
     }
 
-    /// Takes what the log held, or a call brought.
-    pub fn take(&mut self, l: Logged, now: Duration) {
-        match l {
-            Logged::Turn(record) => {
-                let program = record.program.clone();
-                self.keep(program, record, now);
+    /// Applies a record that the log holds already.
+    pub fn replay(&mut self, record: LogRecord, now: Duration) {
+        match record {
+            LogRecord::Turn(turn) => {
+                let program = turn.program.clone();
+                self.store_turn(program, turn, now);
             }
-            Logged::Foreign { program, record } => self.keep(program, record, now),
-            Logged::Attempt { program, record } => {
-                let p = self.program(&program);
-                p.keep_until(now + LEDGER_KEPT);
-                p.ledger_logged.get_or_insert(now);
-                p.ledger.replay(&record, now);
+            LogRecord::Foreign { program, record } => self.store_turn(program, record, now),
+            LogRecord::Attempt { program, record } => {
+                let entry = self.program(&program);
+                entry.keep_until(now + LEDGER_RETENTION);
+                entry.ledger_logged.get_or_insert(now);
+                entry.ledger.replay(&record, now);
             }
         }
     }
 
-    /// Takes a record and adds it to what must be logged.
-    pub fn take_logged(&mut self, record: Logged, now: Duration, log: &mut Vec<Logged>) {
+    /// Applies a record and adds it to what must be logged.
+    pub fn record(&mut self, record: LogRecord, now: Duration, log: &mut Vec<LogRecord>) {
         log.push(record.clone());
-        self.take(record, now);
+        self.replay(record, now);
     }
 
     fn program(&mut self, name: &str) -> &mut Program {
@@ -116,20 +118,20 @@
     fn write(
         &mut self,
         program: &str,
-        w: &LedgerWrite,
+        write: &LedgerWrite,
         now: Duration,
-        log: &mut Vec<Logged>,
+        log: &mut Vec<LogRecord>,
     ) -> WriteOutcome {
-        let lives = std::mem::take(&mut self.lives);
-        let p = self.program(program);
-        p.keep_until(now + LEDGER_KEPT);
-        let done = p.ledger.apply(w, now, &lives);
+        let incarnations = std::mem::take(&mut self.incarnations);
+        let entry = self.program(program);
+        entry.keep_until(now + LEDGER_RETENTION);
+        let done = entry.ledger.apply(write, now, &incarnations);
         if done.log.is_some() {
-            p.ledger_logged.get_or_insert(now);
+            entry.ledger_logged.get_or_insert(now);
         }
-        self.lives = lives;
+        self.incarnations = incarnations;
         if let Some(record) = done.log {
-            log.push(Logged::Attempt { program: program.to_string(), record });
+            log.push(LogRecord::Attempt { program: program.to_string(), record });
         }
         done.outcome
     }
--- a/crates/turn-store/src/tables/rows.rs
+++ b/crates/turn-store/src/tables/rows.rs
@@ -8,7 +8,7 @@
 }
 
 /// A turn of a program, by its id.
-pub(super) struct HeldTurn {
+pub(super) struct StoredTurn {
     pub(super) id: String,
     /// When its newest record was written to the log.
     pub(super) logged: Duration,
@@ -19,7 +19,7 @@
 pub(super) struct Program {
     pub(super) ledger: ProgramLedger,
     pub(super) ledger_logged: Option<Duration>,
-    pub(super) turns: Vec<HeldTurn>,
+    pub(super) turns: Vec<StoredTurn>,
     pub(super) until: Duration,
 }
 
@@ -33,16 +33,16 @@
         }
     }
 
-    /// Whether a turn is kept for this program.
-    pub(super) fn holds(&self, id: &str) -> bool {
+    /// Whether a turn is stored for this program.
+    pub(super) fn has_turn(&self, id: &str) -> bool {
         self.turns.iter().any(|turn| turn.id == id)
     }
 
     /// A turn is written to the log for this program, perhaps once more.
-    pub(super) fn turn_logged(&mut self, id: &str, now: Duration) {
+    pub(super) fn mark_turn_logged(&mut self, id: &str, now: Duration) {
         match self.turns.iter_mut().find(|turn| turn.id == id) {
             Some(turn) => turn.logged = now,
-            None => self.turns.push(HeldTurn { id: id.to_string(), logged: now }),
+            None => self.turns.push(StoredTurn { id: id.to_string(), logged: now }),
         }
     }
 
--- a/crates/turn-store/src/tables/transfer.rs
+++ b/crates/turn-store/src/tables/transfer.rs
@@ -22,26 +22,26 @@
     }
 
     /// A page of what this store holds of the programs that the asking one keeps.
-    pub(super) fn sync(&self, q: SyncCall) -> StoreReply {
-        if let Some(r) = self.fenced(q.version) {
-            return r;
+    pub(super) fn sync(&self, call: SyncCall) -> StoreReply {
+        if let Some(refusal) = self.refuse_other_version(call.version) {
+            return refusal;
         }
-        let from = match q.after {
+        let from = match call.after {
             Some(a) => std::ops::Bound::Excluded(a),
             None => std::ops::Bound::Unbounded,
         };
         let mut rows = Vec::new();
         let mut more = None;
-        for (program, p) in self.programs.range((from, std::ops::Bound::Unbounded)) {
-            if !self.history.keeps(q.me, StoreSet::key_of(program)) {
+        for (program, entry) in self.programs.range((from, std::ops::Bound::Unbounded)) {
+            if !self.history.keeps(call.me, StoreSet::key_of(program)) {
                 continue;
             }
             if rows.len() == SYNC_PAGE {
                 more = rows.last().map(|r: &SyncRow| r.program.clone());
                 break;
             }
-            let ledger = p.ledger.records().cloned().collect();
-            let turns = p.turns.iter().map(|turn| turn.id.clone()).collect();
+            let ledger = entry.ledger.records().cloned().collect();
+            let turns = entry.turns.iter().map(|turn| turn.id.clone()).collect();
             rows.push(SyncRow { program: program.clone(), ledger, turns });
         }
         StoreReply::Sync(SyncReply { caught_up: self.history.caught_up, rows, more })
@@ -52,7 +52,7 @@
         &mut self,
         row: SyncRow,
         now: Duration,
-        log: &mut Vec<Logged>,
+        log: &mut Vec<LogRecord>,
     ) -> Vec<MissingTurn> {
         self.keep_turns_here(&row, now, log);
         for record in row.ledger {
@@ -63,13 +63,13 @@
     }
 
     /// Turns held for another program already are kept for the row's as well.
-    fn keep_turns_here(&mut self, row: &SyncRow, now: Duration, log: &mut Vec<Logged>) {
+    fn keep_turns_here(&mut self, row: &SyncRow, now: Duration, log: &mut Vec<LogRecord>) {
         for id in &row.turns {
-            let known = self.programs.get(&row.program).is_some_and(|p| p.holds(id));
+            let is_linked = self.programs.get(&row.program).is_some_and(|entry| entry.has_turn(id));
             let here = self.turns.get(id).map(|r| r.record.clone());
-            if let (false, Some(record)) = (known, here) {
+            if let (false, Some(record)) = (is_linked, here) {
                 let program = row.program.clone();
-                self.take_logged(Logged::Foreign { program, record }, now, log);
+                self.record(LogRecord::Foreign { program, record }, now, log);
             }
         }
     }
--- a/crates/turn-store/tests/disk.rs
+++ b/crates/turn-store/tests/disk.rs
@@ -31,8 +31,8 @@
     (0..u.int_in_range(3..=10)?).map(|_| op(u)).collect()
 }
 
-fn turn(number: u64) -> Logged {
-    Logged::Turn(TurnRecord {
+fn turn(number: u64) -> LogRecord {
+    LogRecord::Turn(TurnRecord {
         id: format!("t{number}"),
         chain: vec![format!("t{}", number - 1)],
         program: "p".into(),
@@ -45,8 +45,8 @@
 }
 
 fn number_of(body: &[u8]) -> u64 {
-    match decode::<Logged>(body) {
-        Some(Logged::Turn(r)) => r.id[1..].parse().unwrap(),
+    match decode::<LogRecord>(body) {
+        Some(LogRecord::Turn(r)) => r.id[1..].parse().unwrap(),
         other => panic!("not what was written: {other:?}"),
     }
 }
--- a/crates/turn-store/tests/long_programs.rs
+++ b/crates/turn-store/tests/long_programs.rs
@@ -33,7 +33,7 @@
     assert!(matches!(kept, StoreReply::Done));
     assert!(holds_whole_chain(&mut tables, "b", NOW));
     let mut again = common::tables(FOUNDER);
-    log.into_iter().for_each(|l| again.take(l, NOW));
+    log.into_iter().for_each(|l| again.replay(l, NOW));
     assert!(holds_whole_chain(&mut again, "b", NOW), "also after a restart");
 }
 
@@ -83,7 +83,7 @@
     tables: StoreTables,
     uses: SegmentUses,
     /// What each segment holds.
-    segments: BTreeMap<u64, Vec<Logged>>,
+    segments: BTreeMap<u64, Vec<LogRecord>>,
     newest: u64,
     programs: [Program; 2],
     next: u64,
@@ -113,8 +113,8 @@
         }
     }
 
-    fn write(&mut self, log: Vec<Logged>) {
-        let until = log.iter().filter_map(Logged::turn).map(StoreTables::keep_for).max();
+    fn write(&mut self, log: Vec<LogRecord>) {
+        let until = log.iter().filter_map(LogRecord::turn).map(StoreTables::retention_of).max();
         let until = self.now + until.unwrap_or_default() * 2;
         self.uses.written(self.newest, self.now, until);
         self.segments.entry(self.newest).or_default().extend(log);
@@ -148,7 +148,7 @@
     fn sweep(&mut self) {
         self.tables.expire(self.now);
         if let Some(removal) = self.uses.removable(self.now, self.newest) {
-            let owed = self.tables.written_until(removal.written_until, self.now);
+            let owed = self.tables.rewrite_written_until(removal.written_until, self.now);
             self.write(owed);
             self.segments.retain(|number, _| *number >= removal.below);
             self.uses.removed(removal);
@@ -159,7 +159,7 @@
     fn check(&self) {
         let mut again = tables(FOUNDER);
         let records = self.segments.values().flatten();
-        records.for_each(|l| again.take(l.clone(), Duration::ZERO));
+        records.for_each(|l| again.replay(l.clone(), Duration::ZERO));
         for program in &self.programs {
             let owed = self.now.saturating_sub(program.at) < RETENTION;
             if let Some(id) = program.chain.last().filter(|_| owed) {
--- a/crates/turn-store/tests/tables.rs
+++ b/crates/turn-store/tests/tables.rs
@@ -71,7 +71,7 @@
     let mut log = Vec::new();
     other.call(close(record("new", "b", &["a"]), turns), NOW, &mut log);
     let mut again = tables(FOUNDER);
-    log.into_iter().for_each(|l| again.take(l, NOW));
+    log.into_iter().for_each(|l| again.replay(l, NOW));
     for t in [&mut other, &mut again] {
         let q = StoreCall::Sync(SyncCall { version: 1, me: 2, after: None });
         let StoreReply::Sync(s) = t.call(q, NOW, &mut Vec::new()) else { panic!() };
@@ -144,7 +144,7 @@
             };
             let mine = rows(&mut t);
             let mut again = tables(FOUNDER);
-            log.into_iter().for_each(|l| again.take(l, NOW));
+            log.into_iter().for_each(|l| again.replay(l, NOW));
             assert_eq!(mine, rows(&mut again));
             let mut filled = tables(None);
             for r in mine.clone() {
@@ -171,9 +171,9 @@
     assert!(h.is_caught_up());
     // Store 2 goes, and before this one has taken over its share it is to leave.
     let less = set.next(|s| s.stores.retain(|e| e.id != 2));
-    assert_eq!(h.learn(less.clone()), Learnt::Behind);
+    assert_eq!(h.learn(less.clone()), SetUpdate::TransferDue);
     let leaving = less.next(|s| s.stores[0].state = StoreState::Leaving);
-    assert_eq!(h.learn(leaving.clone()), Learnt::Unplaced);
+    assert_eq!(h.learn(leaving.clone()), SetUpdate::Unassigned);
     assert_eq!(h.caught_up, FOUNDER);
     assert!(!h.is_caught_up() && h.missing().is_empty());
     assert!(!h.complete());
@@ -320,7 +320,7 @@
     assert!(!one.is_caught_up(), "it was given programs in between and never had them");
     let mut straight = History::new(1, span);
     straight.learn(wiped.clone());
-    assert_eq!(straight.learn(back.clone()), Learnt::Behind, "nor by the last set alone");
+    assert_eq!(straight.learn(back.clone()), SetUpdate::TransferDue, "nor by the last set alone");
 
     let mut new_disk = learns_all(9, None);
     for other in [&one, &two] {
