--- a/crates/inner-protocol/src/prelude.rs
+++ b/crates/inner-protocol/src/prelude.rs
@@ -1,6 +1,6 @@
 //! The one module every file of this package imports.
 pub use dispatcher::prelude::{
-    AttemptRecord, Incarnations, LedgerWrite, ProgramLedger, ProgramView, WriteOutcome,
+    AttemptRecord, Incarnations, LedgerWrite, Limits, ProgramLedger, ProgramView, WriteOutcome,
 };
 pub use node_base::prelude::*;
 pub use routing_trial::prelude::{Evidence, NodeReport, TrialRecord, TrialSpec, Verdict};
--- a/crates/node-base/src/prelude.rs
+++ b/crates/node-base/src/prelude.rs
@@ -6,11 +6,11 @@
 pub use crate::error::{NodeError, NodeResult};
 pub use crate::links::{decode, encode, tune_stream, Caller, LinkError, LinkResult};
 pub use crate::settings::{
-    Bounds, CloudSettings, LimitSettings, ListenSettings, NodeSettings, SharedSettings, Tolerated,
+    Bounds, CloudSettings, DispatcherSettings, LimitSettings, ListenSettings, NodeSettings,
+    SharedSettings, Tolerated,
 };
 pub use crate::util::{fnv64, rank_by_rendezvous, rendezvous_score, Backoff};
 pub use bytes::{Bytes, BytesMut};
-pub use dispatcher::prelude::Limits;
 pub use futures_util::stream::FuturesUnordered;
 pub use futures_util::{SinkExt, StreamExt};
 pub use serde::{Deserialize, Serialize};
--- a/crates/node-base/src/settings/check.rs
+++ b/crates/node-base/src/settings/check.rs
@@ -152,8 +152,11 @@
     })
 }
 
-fn check_dispatcher(ck: &Checker<'_>, raw: &BTreeMap<String, toml::Value>) -> NodeResult<Limits> {
-    let def = Limits::default();
+fn check_dispatcher(
+    ck: &Checker<'_>,
+    raw: &BTreeMap<String, toml::Value>,
+) -> NodeResult<DispatcherSettings> {
+    let def = DispatcherSettings::default();
     let count = |key: &str, def: u32| -> NodeResult<u32> {
         let n = ck.num(raw, "dispatcher", key, f64::from(def))?;
         match n <= 10_000.0 && n.fract() == 0.0 {
@@ -165,11 +168,10 @@
     if !(1.0..=86_400.0).contains(&lease) {
         return ck.fail("dispatcher.leaseS", "is not between 1 and 86400");
     }
-    Ok(Limits {
-        per_line: count("attemptsPerLine", def.per_line)?,
-        per_program: count("attemptsPerProgram", def.per_program)?,
+    Ok(DispatcherSettings {
+        attempts_per_session: count("attemptsPerLine", def.attempts_per_session)?,
+        attempts_per_program: count("attemptsPerProgram", def.attempts_per_program)?,
         lease: Duration::from_secs_f64(lease),
-        ..def
     })
 }
 
--- a/crates/node-base/src/settings/fields.rs
+++ b/crates/node-base/src/settings/fields.rs
@@ -79,8 +79,8 @@
     rule!("bounds.configApplyMs", AtOnce, bounds.config_apply),
     rule!("bounds.reuseAfterS", AtOnce, bounds.reuse_after),
     rule!("cloudApi", AtOnce, cloud),
-    rule!("dispatcher.attemptsPerLine", AtOnce, dispatcher.per_line),
-    rule!("dispatcher.attemptsPerProgram", AtOnce, dispatcher.per_program),
+    rule!("dispatcher.attemptsPerLine", AtOnce, dispatcher.attempts_per_session),
+    rule!("dispatcher.attemptsPerProgram", AtOnce, dispatcher.attempts_per_program),
     // A lease is counted at the proxy and at the stores; two lengths at once would end one too early.
     rule!("dispatcher.leaseS", AfterRestart, dispatcher.lease),
 ];
--- a/crates/node-base/src/settings/mod.rs
+++ b/crates/node-base/src/settings/mod.rs
@@ -49,8 +49,8 @@
     pub bounds: Bounds,
     /// The platform's interface, where the machine may call it.
     pub cloud: Option<CloudSettings>,
-    /// The dispatcher's limits.
-    pub dispatcher: Limits,
+    /// What attempts may hold, and for how long.
+    pub dispatcher: DispatcherSettings,
 }
 
 /// Where a process serves clients, the platform and operators.
@@ -114,6 +114,27 @@
     pub reuse_after: Duration,
 }
 
+/// Limits of the attempts at turns, which are stated in the field `dispatcher`.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct DispatcherSettings {
+    /// `attemptsPerLine`: attempts of one session that may hold a slot; 0 is unbounded.
+    pub attempts_per_session: u32,
+    /// `attemptsPerProgram`: attempts of one program that may hold a slot; 0 is unbounded.
+    pub attempts_per_program: u32,
+    /// `leaseS`: how long an attempt's lease lasts without a renewal.
+    pub lease: Duration,
+}
+
+impl Default for DispatcherSettings {
+    fn default() -> Self {
+        DispatcherSettings {
+            attempts_per_session: 4,
+            attempts_per_program: 0,
+            lease: Duration::from_secs(60),
+        }
+    }
+}
+
 /// The platform's interface.
 #[derive(Debug, Clone)]
 pub struct CloudSettings {
--- a/crates/node-base/tests/reload.rs
+++ b/crates/node-base/tests/reload.rs
@@ -162,9 +162,10 @@
                 reuse_after: _,
             },
         cloud: _,
-        dispatcher: Limits { per_line: _, per_program: _, lease: _, slack: _, reread: _ },
+        dispatcher:
+            DispatcherSettings { attempts_per_session: _, attempts_per_program: _, lease: _ },
     } = new;
-    // `slack` and `reread` aren't read from the file; `nodeName` to `leaseS` above are 30 rows.
+    // `nodeName` to `leaseS` above are 30 rows.
     assert_eq!(FIELD_RULES.len(), 30);
 }
 
--- a/crates/node-base/tests/settings.rs
+++ b/crates/node-base/tests/settings.rs
@@ -21,10 +21,16 @@
 #[test]
 fn the_dispatcher_s_settings_are_checked() {
     let settings = parse_settings("f", BASE).unwrap();
-    assert_eq!((settings.dispatcher.per_line, settings.dispatcher.lease.as_secs()), (4, 60));
+    assert_eq!(
+        (settings.dispatcher.attempts_per_session, settings.dispatcher.lease.as_secs()),
+        (4, 60)
+    );
     let text = format!("{BASE}[dispatcher]\nattemptsPerLine = 7\nleaseS = 30\n");
     let settings = parse_settings("f", &text).unwrap();
-    assert_eq!((settings.dispatcher.per_line, settings.dispatcher.lease.as_secs()), (7, 30));
+    assert_eq!(
+        (settings.dispatcher.attempts_per_session, settings.dispatcher.lease.as_secs()),
+        (7, 30)
+    );
     for (line, want) in [
         ("attemptsPerLine = 1.5", "f: dispatcher.attemptsPerLine: "),
         ("attemptsPerProgram = -1", "f: dispatcher.attemptsPerProgram: "),
--- a/crates/request-proxy/src/prelude.rs
+++ b/crates/request-proxy/src/prelude.rs
@@ -15,7 +15,7 @@
     TurnClose,
 };
 pub use dispatcher::prelude::{
-    Call, CallPoint, ClaimDecision, ClaimTally, Epoch, Evidence, Hold, NewAttempt, Pinned,
+    Call, CallPoint, ClaimDecision, ClaimTally, Epoch, Evidence, Hold, Limits, NewAttempt, Pinned,
     RecoverDecision, RecoverTally,
 };
 pub use feed_follow::prelude::{
--- a/crates/request-proxy/src/turns/bank.rs
+++ b/crates/request-proxy/src/turns/bank.rs
@@ -39,7 +39,14 @@
 
     /// The lease never changes while a process runs; the slots may.
     pub(super) fn limits(&self) -> Limits {
-        self.settings.now().dispatcher
+        let DispatcherSettings { attempts_per_session, attempts_per_program, lease } =
+            self.settings.now().dispatcher;
+        Limits {
+            per_line: attempts_per_session,
+            per_program: attempts_per_program,
+            lease,
+            ..Limits::default()
+        }
     }
 
     pub fn learn(&self, set: StoreSet) {
--- a/crates/turn-store/src/actor/run.rs
+++ b/crates/turn-store/src/actor/run.rs
@@ -45,7 +45,7 @@
         RealDisk::handle(),
         &dir,
         StoreIdentity::new(fastrand::u64(1..), settings.first_start),
-        settings.dispatcher,
+        Limits { lease: settings.dispatcher.lease, ..Limits::default() },
         segment_bytes,
     )?;
     let identity = owner.identity();
