--- a/crates/dispatcher/src/ledger/apply.rs
+++ b/crates/dispatcher/src/ledger/apply.rs
@@ -28,7 +28,7 @@
     ) -> Applied {
         match w {
             LedgerWrite::Claim { attempt, lease } => self.claim(attempt, *lease, now),
-            LedgerWrite::Mark { req, epoch, send, engine } => {
+            LedgerWrite::RecordCall { req, epoch, send, engine } => {
                 self.mark(*req, CallPoint(*epoch, *send), engine, now)
             }
             LedgerWrite::Renew { req, epoch, lease } => {
@@ -123,7 +123,7 @@
         part.call = Some(Call { at, engine: engine.to_string() });
         part.segment(s);
         let changed = self.take_in(&part, now, false);
-        Applied { outcome: WriteOutcome::Marked, log: changed.then_some(part) }
+        Applied { outcome: WriteOutcome::CallRecorded, log: changed.then_some(part) }
     }
 
     fn renew(&mut self, req: u64, epoch: Epoch, lease: Duration, now: Duration) -> WriteOutcome {
@@ -163,7 +163,7 @@
                 return refused(WriteOutcome::Fenced { epoch: r.epoch() });
             }
             if !again && !has_lapsed(row, now, incarnations) {
-                return refused(WriteOutcome::Held);
+                return refused(WriteOutcome::LeaseActive);
             }
             part.join(r);
         }
--- a/crates/dispatcher/src/node/claim.rs
+++ b/crates/dispatcher/src/node/claim.rs
@@ -3,7 +3,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
-    Line,
+    Session,
     Program,
 }
 
@@ -21,14 +21,15 @@
         scope: Scope,
     },
     /// There is room by what was told, and a majority holds the claim: ask a majority once more what it
-    /// knows now (`take_again`), by the marker or by the same claim again.
-    Reread,
+    /// knows now (`recheck_reply`), by the marker or by the same claim again.
+    Recheck,
     /// A majority refused: another life holds the attempt, or it is settled.
     Refused,
     NeedMore,
 }
 
-struct Known {
+/// What the stores told of one attempt.
+struct ObservedAttempt {
     view: AttemptView,
     /// Stores at which nobody holds it any more: the lease has lapsed, or it is settled.
     lapsed: usize,
@@ -39,27 +40,27 @@
 pub struct ClaimTally {
     quorum: usize,
     req: u64,
-    line: u64,
+    session: u64,
     limits: Limits,
     stores: BTreeSet<u64>,
     granted: usize,
     number: u32,
-    reread: BTreeSet<u64>,
-    attempts: BTreeMap<u64, Known>,
+    recheck: BTreeSet<u64>,
+    attempts: BTreeMap<u64, ObservedAttempt>,
 }
 
 impl ClaimTally {
     /// `quorum` is the majority of the program's stores, T+1 of 2T+1.
-    pub fn new(quorum: usize, req: u64, line: u64, limits: Limits) -> Self {
+    pub fn new(quorum: usize, req: u64, session: u64, limits: Limits) -> Self {
         ClaimTally {
             quorum,
             req,
-            line,
+            session,
             limits,
             stores: BTreeSet::new(),
             granted: 0,
             number: 0,
-            reread: BTreeSet::new(),
+            recheck: BTreeSet::new(),
             attempts: BTreeMap::new(),
         }
     }
@@ -78,25 +79,25 @@
             WriteOutcome::Recovered { .. } => self.granted += 1,
             _ => {}
         }
-        self.know(view);
+        self.observe(view);
     }
 
     /// A store's view, asked for after a majority had granted.
-    pub fn take_again(&mut self, store: u64, view: ProgramView) {
-        if self.granted >= self.quorum && self.reread.insert(store) {
-            self.know(view);
+    pub fn recheck_reply(&mut self, store: u64, view: ProgramView) {
+        if self.granted >= self.quorum && self.recheck.insert(store) {
+            self.observe(view);
         }
     }
 
-    fn know(&mut self, view: ProgramView) {
-        let first = self.reread.is_empty();
+    fn observe(&mut self, view: ProgramView) {
+        let first = self.recheck.is_empty();
         let done = view.finished.0.into_iter().map(|(r, t)| AttemptView::finished(r, t));
         for v in done.chain(view.live) {
             let lapsed = usize::from(v.lapsed || v.is_settled());
             match self.attempts.get_mut(&v.req) {
                 None => {
                     let (lapsed, seen) = if first { (lapsed, 1) } else { (0, 0) };
-                    self.attempts.insert(v.req, Known { view: v, lapsed, seen });
+                    self.attempts.insert(v.req, ObservedAttempt { view: v, lapsed, seen });
                 }
                 Some(k) => {
                     k.view.join(v);
@@ -135,11 +136,12 @@
         }
         let slots: Vec<&AttemptView> =
             self.others().filter(|v| holds_slot(v, engine_listed)).collect();
-        let line = slots.iter().filter(|v| v.line == self.line || v.line == 0).count() as u32;
+        let of_session =
+            slots.iter().filter(|v| v.line == self.session || v.line == 0).count() as u32;
         let program = slots.len() as u32;
         let mut near = false;
         for (in_use, limit, scope) in [
-            (line, self.limits.per_line, Scope::Line),
+            (of_session, self.limits.per_session, Scope::Session),
             (program, self.limits.per_program, Scope::Program),
         ] {
             near |= limit > 0 && 2 * in_use + 1 > limit;
@@ -153,14 +155,14 @@
         if allowance.is_some_and(|a| spent + most > a) {
             return ClaimDecision::Spent;
         }
-        let reread = match self.limits.reread {
-            Reread::Always => true,
-            Reread::NearLimit => near,
-            Reread::Within(n) => few(n),
-            Reread::Never => false,
+        let recheck = match self.limits.recheck {
+            Recheck::Always => true,
+            Recheck::NearLimit => near,
+            Recheck::Within(n) => few(n),
+            Recheck::Never => false,
         };
-        if reread && self.reread.len() < self.quorum {
-            return ClaimDecision::Reread;
+        if recheck && self.recheck.len() < self.quorum {
+            return ClaimDecision::Recheck;
         }
         ClaimDecision::Go { number: self.number }
     }
--- a/crates/dispatcher/src/node/hold.rs
+++ b/crates/dispatcher/src/node/held_leases.rs
@@ -11,12 +11,12 @@
 
 /// Invariant: `due` and `leases` hold the same requests, each once.
 #[derive(Default)]
-pub struct Hold {
+pub struct HeldLeases {
     leases: HashMap<u64, Lease>,
     due: BTreeSet<(Duration, u64)>,
 }
 
-impl Hold {
+impl HeldLeases {
     /// A claim or recovery sent at `sent` was granted by a majority.
     pub fn add(&mut self, req: u64, epoch: Epoch, lease: Duration, sent: Duration) {
         self.done(req);
--- a/crates/dispatcher/src/node/limits.rs
+++ b/crates/dispatcher/src/node/limits.rs
@@ -4,7 +4,7 @@
 /// of three or more claims at once each may miss one, in a ring, and together take more room than there
 /// is. Asked again, the last of them to be granted sees all others, at the price of one more trip.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reread {
+pub enum Recheck {
     Always,
     /// Only a claim that would take more than half of what is left to it. If all claims at once stay
     /// below that, their sum stays within the limit, whatever they missed of each other; mixed with ones
@@ -23,23 +23,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Attempts of one line that may hold a slot.
-    pub per_line: u32,
+    pub per_session: u32,
     /// Attempts of one program that may hold a slot.
     pub per_program: u32,
     pub lease: Duration,
     /// The way to an engine, and how far elapsed clocks part within a deadline.
     pub slack: Duration,
-    pub reread: Reread,
+    pub recheck: Recheck,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            per_line: 4,
+            per_session: 4,
             per_program: 0,
             lease: Duration::from_secs(60),
             slack: Duration::from_secs(2),
-            reread: Reread::Within(2),
+            recheck: Recheck::Within(2),
         }
     }
 }
--- a/crates/dispatcher/src/prelude.rs
+++ b/crates/dispatcher/src/prelude.rs
@@ -1,7 +1,8 @@
 //! The one module every file of this package imports.
 pub use crate::ledger::{Incarnations, ProgramLedger};
 pub use crate::node::{
-    ClaimDecision, ClaimTally, Evidence, Hold, Limits, RecoverDecision, RecoverTally, Reread, Scope,
+    ClaimDecision, ClaimTally, Evidence, HeldLeases, Limits, Recheck, RecoverDecision,
+    RecoverTally, Scope,
 };
 pub use crate::queue::{PoolCapacity, ReadyQueue, ReadyTurn};
 pub use crate::records::{
--- a/crates/dispatcher/src/records/attempt.rs
+++ b/crates/dispatcher/src/records/attempt.rs
@@ -157,7 +157,7 @@
 
 /// An attempt, whole or in part (a store logs only what changed). Invariants: each field only grows in
 /// its own order, `join` takes the greater of each, so it is commutative, associative and idempotent;
-/// `segments` are the newest `KEPT_SEGMENTS` ever seen, by epoch, the last being the holder's;
+/// `segments` are the newest `RETAINED_SEGMENTS` ever seen, by epoch, the last being the holder's;
 /// `dropped` is the greatest epoch that fell out of them. Whether it is settled or stopped is derived:
 /// a settlement or a stop counts unless a send was marked after it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -188,7 +188,7 @@
 }
 
 impl AttemptRecord {
-    pub const KEPT_SEGMENTS: usize = 4;
+    pub const RETAINED_SEGMENTS: usize = 4;
 
     /// Nothing known but the request.
     pub fn stub(req: u64) -> Self {
@@ -280,7 +280,7 @@
             }
             Err(i) => {
                 self.segments.insert(i, s);
-                if self.segments.len() > Self::KEPT_SEGMENTS {
+                if self.segments.len() > Self::RETAINED_SEGMENTS {
                     let oldest = self.segments.remove(0);
                     self.dropped = self.dropped.max(oldest.epoch);
                 }
--- a/crates/dispatcher/src/records/write.rs
+++ b/crates/dispatcher/src/records/write.rs
@@ -14,7 +14,7 @@
     /// The fenced write just before an engine is reached. `send` counts from 1 under each epoch; a
     /// claim that names an engine was send 1.
     #[serde(rename = "m")]
-    Mark {
+    RecordCall {
         #[serde(rename = "r")]
         req: u64,
         #[serde(rename = "e")]
@@ -101,7 +101,7 @@
         number: u32,
     },
     #[serde(rename = "m")]
-    Marked,
+    CallRecorded,
     #[serde(rename = "n")]
     Renewed,
     /// Older epochs are refused here from now on; the marker it had, and its most.
@@ -146,7 +146,7 @@
     },
     /// The lease still runs here: not recoverable yet.
     #[serde(rename = "h")]
-    Held,
+    LeaseActive,
     /// The lease has run out here: not renewable.
     #[serde(rename = "x")]
     Expired,
@@ -162,7 +162,7 @@
             self,
             WriteOutcome::Fenced { .. }
                 | WriteOutcome::AlreadySettled { .. }
-                | WriteOutcome::Held
+                | WriteOutcome::LeaseActive
                 | WriteOutcome::Expired
                 | WriteOutcome::Unknown
         )
--- a/crates/dispatcher/tests/laws.rs
+++ b/crates/dispatcher/tests/laws.rs
@@ -30,7 +30,7 @@
         }
         1 => {
             let engine = ["i", "j"][usize::from(u.arbitrary::<bool>()?)].to_string();
-            LedgerWrite::Mark { req, epoch: epoch(u)?, send: u.int_in_range(1..=3)?, engine }
+            LedgerWrite::RecordCall { req, epoch: epoch(u)?, send: u.int_in_range(1..=3)?, engine }
         }
         2 | 3 => LedgerWrite::Recover {
             req,
--- a/crates/dispatcher/tests/ledger.rs
+++ b/crates/dispatcher/tests/ledger.rs
@@ -50,7 +50,7 @@
 }
 
 fn mark(req: u64, epoch: Epoch, send: u32, engine: &str) -> LedgerWrite {
-    LedgerWrite::Mark { req, epoch, send, engine: engine.into() }
+    LedgerWrite::RecordCall { req, epoch, send, engine: engine.into() }
 }
 
 fn settle(req: u64, epoch: Option<Epoch>, tokens: u32, stopped: bool) -> LedgerWrite {
@@ -104,7 +104,7 @@
     let fenced = WriteOutcome::Fenced { epoch: second(1) };
     assert_eq!(put(&mut l, mark(1, first(1), 1, "i-1"), 60), fenced);
     assert_eq!(l.record(1).unwrap().invoke(), Invoke::Pending);
-    assert_eq!(put(&mut l, mark(1, second(1), 1, "i-1"), 61), WriteOutcome::Marked);
+    assert_eq!(put(&mut l, mark(1, second(1), 1, "i-1"), 61), WriteOutcome::CallRecorded);
     assert!(l.record(1).unwrap().segments[1].relaunched);
     put(&mut l, settle(2, Some(first(2)), 0, true), 1);
     let ended =
@@ -120,7 +120,7 @@
     assert_eq!(put(&mut l, renew(LEASE), 20), WriteOutcome::Renewed);
     // A shorter one leaves the later end: recovery is refused until then.
     assert_eq!(put(&mut l, renew(at(1)), 30), WriteOutcome::Renewed);
-    assert_eq!(put(&mut l, recover(1), 79), WriteOutcome::Held);
+    assert_eq!(put(&mut l, recover(1), 79), WriteOutcome::LeaseActive);
     assert_eq!(put(&mut l, renew(LEASE), 80), WriteOutcome::Expired);
     assert!(put(&mut l, recover(1), 80).is_granted());
     assert_eq!(put(&mut l, renew(LEASE), 81), WriteOutcome::Fenced { epoch: second(1) });
@@ -135,7 +135,7 @@
     }
     incarnations.saw(1, 9);
     incarnations.saw(1, 10);
-    assert_eq!(l.apply(&recover(1), at(1), &incarnations).outcome, WriteOutcome::Held);
+    assert_eq!(l.apply(&recover(1), at(1), &incarnations).outcome, WriteOutcome::LeaseActive);
     let release = LedgerWrite::Release { req: 2, epoch: first(2) };
     assert_eq!(put(&mut l, release, 1), WriteOutcome::Released);
     assert!(put(&mut l, recover(2), 1).is_granted());
@@ -251,7 +251,7 @@
     let a = l.apply(&claim(1, None), at(500), &Incarnations::default());
     let mut l = ledger();
     l.replay(&a.log.unwrap(), at(0));
-    assert_eq!(put(&mut l, recover(1), 59), WriteOutcome::Held);
+    assert_eq!(put(&mut l, recover(1), 59), WriteOutcome::LeaseActive);
     assert_eq!(put(&mut l, claim(1, None), 59), WriteOutcome::Fenced { epoch: first(1) });
     assert!(put(&mut l, recover(1), 60).is_granted());
 }
--- a/crates/dispatcher/tests/model/world.rs
+++ b/crates/dispatcher/tests/model/world.rs
@@ -13,11 +13,11 @@
 
 const DEADLINE: Duration = Duration::from_millis(1000);
 const LIMITS: Limits = Limits {
-    per_line: 3,
+    per_session: 3,
     per_program: 5,
     lease: Duration::from_millis(250),
     slack: Duration::from_millis(150),
-    reread: Reread::Always,
+    recheck: Recheck::Always,
 };
 
 /// An outcome that waits for the sync.
@@ -337,13 +337,13 @@
         match (self.broken, &write, &a.outcome) {
             (
                 Broken::MarksNotFenced,
-                LedgerWrite::Mark { req, epoch, send, engine },
+                LedgerWrite::RecordCall { req, epoch, send, engine },
                 WriteOutcome::Fenced { .. },
             ) => {
                 let mut part = AttemptRecord::stub(*req);
                 part.call = Some(Call { at: CallPoint(*epoch, *send), engine: engine.clone() });
                 a = s.ledger.apply(&LedgerWrite::Merge(part), now, &s.incarnations);
-                a.outcome = WriteOutcome::Marked;
+                a.outcome = WriteOutcome::CallRecorded;
             }
             (Broken::MarkerForgotten, _, WriteOutcome::Recovered { most, .. }) => {
                 a.outcome = WriteOutcome::Recovered { call: None, most: *most };
@@ -390,10 +390,10 @@
             (LedgerWrite::Recover { .. }, Stage::Asking) => {
                 self.took_over(t, s, again, &write, &outcome, view);
             }
-            (LedgerWrite::Mark { send, .. }, Stage::Marking) => {
+            (LedgerWrite::RecordCall { send, .. }, Stage::Marking) => {
                 let q = self.quorum();
                 let task = &mut self.tasks[t];
-                if outcome == WriteOutcome::Marked && *send == task.send {
+                if outcome == WriteOutcome::CallRecorded && *send == task.send {
                     task.marks.insert(s);
                     if task.marks.len() >= q {
                         task.stage = Stage::Ready;
@@ -406,7 +406,7 @@
 
     fn check_told(&mut self, s: usize, write: &LedgerWrite, outcome: &WriteOutcome) {
         let mark = match (write, outcome) {
-            (LedgerWrite::Mark { req, epoch, send, .. }, WriteOutcome::Marked) => {
+            (LedgerWrite::RecordCall { req, epoch, send, .. }, WriteOutcome::CallRecorded) => {
                 (*req, *epoch, *send)
             }
             (LedgerWrite::Claim { attempt, .. }, WriteOutcome::Claimed { .. })
@@ -453,7 +453,7 @@
         let task = &mut self.tasks[t];
         let Kind::Claim { tally, carries } = &mut task.kind else { return };
         match again {
-            true => tally.take_again(s as u64, view),
+            true => tally.recheck_reply(s as u64, view),
             false => tally.take(s as u64, outcome, view),
         }
         let gone = &self.nodes[task.node].gone;
@@ -462,7 +462,7 @@
         if d == ClaimDecision::NeedMore {
             return;
         }
-        if d == ClaimDecision::Reread {
+        if d == ClaimDecision::Recheck {
             if !std::mem::replace(&mut task.rereads, true) {
                 self.send_as(t, w.clone(), true, true);
             }
@@ -522,7 +522,7 @@
         let task = &mut self.tasks[t];
         let Kind::Recover { tally, room } = &mut task.kind else { return };
         match again {
-            true => room.take_again(s as u64, view),
+            true => room.recheck_reply(s as u64, view),
             false => {
                 tally.take(s as u64, outcome);
                 room.take(s as u64, outcome, view);
@@ -533,7 +533,7 @@
         let settle = tally.settle();
         match tally.decide() {
             RecoverDecision::NeedMore => return,
-            RecoverDecision::Relaunch if go == ClaimDecision::Reread => {
+            RecoverDecision::Relaunch if go == ClaimDecision::Recheck => {
                 if !std::mem::replace(&mut task.rereads, true) {
                     self.send_as(t, w.clone(), true, true);
                 }
@@ -565,7 +565,7 @@
         task.marks.clear();
         let (req, epoch, send) = (task.req, task.epoch, task.send);
         let engine = task.engine.clone();
-        self.send_all(t, LedgerWrite::Mark { req, epoch, send, engine }, true);
+        self.send_all(t, LedgerWrite::RecordCall { req, epoch, send, engine }, true);
     }
 
     fn settle(&mut self, t: usize, tokens: u32, stopped: bool) {
@@ -609,7 +609,7 @@
         let running = self.executions.iter().filter(|e| e.running);
         let (of_line, all) =
             running.fold((1, 1), |(l, a), e| (l + u32::from(e.line == line), a + 1));
-        if of_line > LIMITS.per_line || all > LIMITS.per_program {
+        if of_line > LIMITS.per_session || all > LIMITS.per_program {
             self.broke(format!("a slot was given twice: {of_line} of the line, {all} in all"));
         }
         self.seen[0] += 1;
--- a/crates/dispatcher/tests/node.rs
+++ b/crates/dispatcher/tests/node.rs
@@ -31,7 +31,7 @@
 type Reply = (Vec<(u64, u32)>, Vec<AttemptView>);
 
 fn tally(replies: &[Reply]) -> ClaimTally {
-    let limits = Limits { per_line: 2, reread: Reread::Never, ..Limits::default() };
+    let limits = Limits { per_session: 2, recheck: Recheck::Never, ..Limits::default() };
     let mut t = ClaimTally::new(2, 9, 5, limits);
     for (s, (done, live)) in replies.iter().enumerate() {
         let v = ProgramView { finished: Finished(done.clone()), live: live.clone() };
@@ -59,38 +59,38 @@
 /// Each of three claims misses one of the others; read again, the last to be granted sees both.
 #[test]
 fn claims_in_a_ring_are_seen_when_a_majority_is_asked_again() {
-    let limits = |reread| Limits { per_line: 2, reread, ..Limits::default() };
-    let run = |reread| {
-        let mut t = ClaimTally::new(2, 9, 5, limits(reread));
+    let limits = |recheck| Limits { per_session: 2, recheck, ..Limits::default() };
+    let run = |recheck| {
+        let mut t = ClaimTally::new(2, 9, 5, limits(recheck));
         for s in 1..=2 {
             t.take(s, &OK, ProgramView { live: vec![view(1, 5)], ..ProgramView::default() });
         }
         t
     };
     let go = ClaimDecision::Go { number: 3 };
-    assert_eq!(decide(&run(Reread::Never), 999), go);
-    let mut t = run(Reread::Always);
-    assert_eq!(decide(&t, 999), ClaimDecision::Reread);
-    t.take_again(1, ProgramView::default());
-    assert_eq!(decide(&t, 999), ClaimDecision::Reread);
-    t.take_again(3, ProgramView { live: vec![view(2, 5)], ..ProgramView::default() });
-    let full = ClaimDecision::Capacity { in_use: 2, limit: 2, scope: Scope::Line };
+    assert_eq!(decide(&run(Recheck::Never), 999), go);
+    let mut t = run(Recheck::Always);
+    assert_eq!(decide(&t, 999), ClaimDecision::Recheck);
+    t.recheck_reply(1, ProgramView::default());
+    assert_eq!(decide(&t, 999), ClaimDecision::Recheck);
+    t.recheck_reply(3, ProgramView { live: vec![view(2, 5)], ..ProgramView::default() });
+    let full = ClaimDecision::Capacity { in_use: 2, limit: 2, scope: Scope::Session };
     assert_eq!(decide(&t, 999), full);
     // One of two slots is taken, or more than half of the budget would be.
-    assert_eq!(decide(&run(Reread::NearLimit), 999), ClaimDecision::Reread);
+    assert_eq!(decide(&run(Recheck::NearLimit), 999), ClaimDecision::Recheck);
     let near = |allowance| {
-        let mut t = ClaimTally::new(1, 9, 5, limits(Reread::NearLimit));
+        let mut t = ClaimTally::new(1, 9, 5, limits(Recheck::NearLimit));
         t.take(1, &OK, ProgramView { live: vec![view(1, 6)], ..ProgramView::default() });
         decide(&t, allowance)
     };
-    assert_eq!((near(250), near(249)), (go, ClaimDecision::Reread));
+    assert_eq!((near(250), near(249)), (go, ClaimDecision::Recheck));
     // Room for itself and two more like it: 100 is known to be taken.
-    let within = |allowance| decide(&run_with(Reread::Within(2)), allowance);
-    assert_eq!((within(250), within(249)), (go, ClaimDecision::Reread));
+    let within = |allowance| decide(&run_with(Recheck::Within(2)), allowance);
+    assert_eq!((within(250), within(249)), (go, ClaimDecision::Recheck));
 }
 
-fn run_with(reread: Reread) -> ClaimTally {
-    let limits = Limits { per_line: 0, reread, ..Limits::default() };
+fn run_with(recheck: Recheck) -> ClaimTally {
+    let limits = Limits { per_session: 0, recheck, ..Limits::default() };
     let mut t = ClaimTally::new(1, 9, 5, limits);
     t.take(1, &OK, ProgramView { live: vec![view(1, 5)], ..ProgramView::default() });
     t
@@ -117,7 +117,8 @@
                     }
                 }
             }
-            let limits = Limits { per_line: 0, reread: Reread::Within(2), ..Limits::default() };
+            let limits =
+                Limits { per_session: 0, recheck: Recheck::Within(2), ..Limits::default() };
             let gone = sees.iter().enumerate().filter(|(i, seen)| {
                 let mut t = ClaimTally::new(1, 100 + *i as u64, 5, limits);
                 let live = seen.iter().map(|j| view(100 + *j as u64, 5)).collect();
@@ -144,7 +145,7 @@
 
 #[test]
 fn a_slot_is_held_until_the_end_and_a_stop() {
-    let full = ClaimDecision::Capacity { in_use: 2, limit: 2, scope: Scope::Line };
+    let full = ClaimDecision::Capacity { in_use: 2, limit: 2, scope: Scope::Session };
     let with = |v: AttemptView| tally(&[(vec![], vec![view(1, 5), v]), (vec![], vec![])]);
     assert_eq!(decide(&with(view(2, 5)), 999), full);
     assert_eq!(decide(&with(view(2, 6)), 999), ClaimDecision::Go { number: 3 });
@@ -229,7 +230,7 @@
     assert_eq!(run(&[got(None), got(None)]), (RecoverDecision::Relaunch, settle(0, true, None)));
     let adopt = RecoverDecision::Adopt { engine: "i".into() };
     assert_eq!(run(&[got(None), got(Some("i"))]), (adopt, settle(80, false, sent("i"))));
-    let held = [WriteOutcome::Held, got(None), WriteOutcome::Held];
+    let held = [WriteOutcome::LeaseActive, got(None), WriteOutcome::LeaseActive];
     assert_eq!(run(&held), (RecoverDecision::Lost, None));
     let done = |epoch| WriteOutcome::AlreadySettled {
         epoch,
@@ -260,7 +261,7 @@
 fn leases_are_renewed_every_third_and_lost_when_refused_or_unanswered() {
     let at = Duration::from_secs;
     let e = Epoch::first(1, 1, 1);
-    let mut h = Hold::default();
+    let mut h = HeldLeases::default();
     h.add(1, e, at(60), at(0));
     h.add(2, e, at(60), at(5));
     assert!(h.tick(at(19)).is_empty());
--- a/crates/request-proxy/src/app/feed.rs
+++ b/crates/request-proxy/src/app/feed.rs
@@ -40,7 +40,7 @@
     tokio::spawn(async move {
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            bank.hold_on();
+            bank.renew_leases();
         }
     });
     let app = app.clone();
--- a/crates/request-proxy/src/flow/turn.rs
+++ b/crates/request-proxy/src/flow/turn.rs
@@ -189,7 +189,7 @@
             // The claim carried the launch intent of the engine that was chosen before it.
             let carried = sends + unreached == 0
                 && c.call.as_ref().is_some_and(|c| c.at.1 == 1 && *c.engine == *g.id);
-            if !carried && !app.bank.mark(c, &g.id).await {
+            if !carried && !app.bank.record_call(c, &g.id).await {
                 return Err(OwnAnswer::refused(200, "too few stores answer"));
             }
         }
--- a/crates/request-proxy/src/life/mod.rs
+++ b/crates/request-proxy/src/life/mod.rs
@@ -44,7 +44,7 @@
     if !serving.is_finished() {
         let _ = tokio::time::timeout_at(app.at(clock.process_ends()), serving).await;
     }
-    app.bank.release_all();
+    app.bank.release_leases();
     app.tell_outcomes();
     app.accounts.log_totals();
     tokio::time::sleep(LAST_MESSAGES.min(grace / 64)).await;
--- a/crates/request-proxy/src/prelude.rs
+++ b/crates/request-proxy/src/prelude.rs
@@ -15,8 +15,8 @@
     TurnClose,
 };
 pub use dispatcher::prelude::{
-    Call, CallPoint, ClaimDecision, ClaimTally, Epoch, Evidence, Hold, Limits, NewAttempt, Pinned,
-    RecoverDecision, RecoverTally,
+    Call, CallPoint, ClaimDecision, ClaimTally, Epoch, Evidence, HeldLeases, Limits, NewAttempt,
+    Pinned, RecoverDecision, RecoverTally,
 };
 pub use feed_follow::prelude::{
     follow_cells, FeedItem, FeedUpdate, FeedView, FollowSettings, Seeds, Topics,
--- a/crates/request-proxy/src/turns/attempts.rs
+++ b/crates/request-proxy/src/turns/attempts.rs
@@ -44,12 +44,12 @@
     }
 
     /// The fenced write just before an engine is reached; true once a majority holds it.
-    pub async fn mark(&self, claim: &mut Claim, engine: &str) -> bool {
+    pub async fn record_call(&self, claim: &mut Claim, engine: &str) -> bool {
         let send = claim.call.as_ref().map_or(0, |c| c.at.1) + 1;
         let at = CallPoint(claim.epoch, send);
         claim.call = Some(Call { at, engine: engine.to_string() });
         let engine = engine.to_string();
-        let w = LedgerWrite::Mark { req: claim.req, epoch: claim.epoch, send, engine };
+        let w = LedgerWrite::RecordCall { req: claim.req, epoch: claim.epoch, send, engine };
         self.granted(&claim.program, &w).await
     }
 
@@ -94,16 +94,16 @@
     }
 
     /// Renews the leases that are due; called regularly.
-    pub fn hold_on(self: &Arc<Self>) {
+    pub fn renew_leases(self: &Arc<Self>) {
         let now = self.now();
-        let mut held = locked(&self.hold);
+        let mut held = locked(&self.leases);
         for w in held.0.tick(now) {
             let LedgerWrite::Renew { req, .. } = w else { continue };
             let Some(program) = held.1.get(&req).cloned() else { continue };
             let bank = self.clone();
             tokio::spawn(async move {
                 if bank.granted(&program, &w).await {
-                    locked(&bank.hold).0.renewed(req, now);
+                    locked(&bank.leases).0.renewed(req, now);
                 }
             });
         }
@@ -114,8 +114,8 @@
     }
 
     /// Gives up all leases that are still held, so that others may recover what is left.
-    pub fn release_all(&self) {
-        let mut held = locked(&self.hold);
+    pub fn release_leases(&self) {
+        let mut held = locked(&self.leases);
         let all: Vec<(u64, String)> = held.1.drain().collect();
         for (req, program) in all {
             if let Some(epoch) = held.0.epoch(req) {
@@ -125,8 +125,8 @@
         }
     }
 
-    pub(super) fn let_go(&self, req: u64) {
-        let mut held = locked(&self.hold);
+    pub(super) fn end_lease(&self, req: u64) {
+        let mut held = locked(&self.leases);
         held.0.done(req);
         held.1.remove(&req);
     }
@@ -141,7 +141,7 @@
 
     /// Settles a turn that doesn't count, at what was put out.
     pub fn settle(&self, claim: &Claim, tokens: u32, stopped: bool) {
-        self.let_go(claim.req);
+        self.end_lease(claim.req);
         self.note(&claim.program, &claim.settle(tokens, stopped));
     }
 }
--- a/crates/request-proxy/src/turns/bank.rs
+++ b/crates/request-proxy/src/turns/bank.rs
@@ -16,7 +16,7 @@
     pub(super) settings: SharedSettings,
     pub(super) began: Instant,
     /// Leases held here, and whose attempts they are.
-    pub(super) hold: Mutex<(Hold, HashMap<u64, String>)>,
+    pub(super) leases: Mutex<(HeldLeases, HashMap<u64, String>)>,
 }
 
 impl TurnBank {
@@ -30,7 +30,7 @@
             incarnation: AtomicU64::new(unix.map_or(1, |d| d.as_millis() as u64)),
             settings: shared.clone(),
             began: Instant::now(),
-            hold: Mutex::new((Hold::default(), HashMap::new())),
+            leases: Mutex::new((HeldLeases::default(), HashMap::new())),
             set: Mutex::new(Arc::new(StoreSet::default())),
             links: Mutex::new(HashMap::new()),
             cache: Mutex::new(ChainCache::new(cache_bytes)),
@@ -42,7 +42,7 @@
         let DispatcherSettings { attempts_per_session, attempts_per_program, lease } =
             self.settings.now().dispatcher;
         Limits {
-            per_line: attempts_per_session,
+            per_session: attempts_per_session,
             per_program: attempts_per_program,
             lease,
             ..Limits::default()
--- a/crates/request-proxy/src/turns/closing.rs
+++ b/crates/request-proxy/src/turns/closing.rs
@@ -50,7 +50,7 @@
         let TurnClose { record, chain, tokens, claim } = c;
         let settle = claim.as_ref().map(|c| c.settle(tokens, true));
         if let Some(c) = &claim {
-            self.let_go(c.req);
+            self.end_lease(c.req);
         }
         let program = record.program.clone();
         let record = Arc::new(record);
--- a/crates/request-proxy/src/turns/opening.rs
+++ b/crates/request-proxy/src/turns/opening.rs
@@ -83,7 +83,7 @@
         let o = got?;
         let claim = claiming.granted();
         if let Some(c) = &claim {
-            let mut held = locked(&self.hold);
+            let mut held = locked(&self.leases);
             held.0.add(c.req, c.epoch, self.limits().lease, sent);
             held.1.insert(c.req, c.program.clone());
         }
@@ -197,14 +197,14 @@
         if let Some(c) = &ask.claim {
             let decide = |t: &ClaimTally| t.decide(c.allowance, c.most, &ask.listed);
             let mut decision = decide(&tally);
-            if decision == ClaimDecision::Reread {
+            if decision == ClaimDecision::Recheck {
                 // The same claim again: what a majority knows once a majority has granted it.
                 let again = row.iter().map(|e| call(1, e, None));
                 let mut work: FuturesUnordered<_> = again.collect();
-                while decision == ClaimDecision::Reread {
+                while decision == ClaimDecision::Recheck {
                     match work.next().await {
                         Some((id, Ok(StoreReply::Open(r)))) if r.has_complete_history => {
-                            tally.take_again(id, r.view);
+                            tally.recheck_reply(id, r.view);
                             decision = decide(&tally);
                         }
                         Some(_) => {}
--- a/crates/stand-ins/tests/landed_versions.rs
+++ b/crates/stand-ins/tests/landed_versions.rs
@@ -341,7 +341,7 @@
             encode(&StoreCall::Write {
                 version: 4,
                 program: "p".into(),
-                write: LedgerWrite::Mark { req: 1, epoch, send: 2, engine: "i-2".into() },
+                write: LedgerWrite::RecordCall { req: 1, epoch, send: 2, engine: "i-2".into() },
             }),
         ),
         (
--- a/crates/stand-ins/tests/store_schedules/opening.rs
+++ b/crates/stand-ins/tests/store_schedules/opening.rs
@@ -138,7 +138,7 @@
         self.shuffle(&mut order);
         let previous = ask.previous.as_ref().map(|t| turn_id(t.req));
         let mut ledger = OpenLedger::new(group.len(), set.quorum(), previous.is_some());
-        let limits = Limits { per_line: 0, reread: Reread::Never, ..Limits::default() };
+        let limits = Limits { per_session: 0, recheck: Recheck::Never, ..Limits::default() };
         let mut tally = ClaimTally::new(set.quorum(), ask.req, ask.req, limits);
         let mut rest = order.iter();
         loop {
--- a/crates/stand-ins/tests/store_schedules/prelude.rs
+++ b/crates/stand-ins/tests/store_schedules/prelude.rs
@@ -6,7 +6,7 @@
 pub use crate::world::{Event, World};
 pub use control_cell::duties::may_retire;
 pub use control_cell::prelude::{next_stores, RecoveryBounds, StoreObservation};
-pub use dispatcher::prelude::{ClaimDecision, ClaimTally, NewAttempt, Pinned, Reread};
+pub use dispatcher::prelude::{ClaimDecision, ClaimTally, NewAttempt, Pinned, Recheck};
 pub use request_proxy::prelude::{OpenFault, OpenLedger, OpenStep};
 pub use simulated_disk::{SimulatedDisk, Trouble};
 pub use stand_ins::prelude::*;
--- a/crates/turn-store/tests/tables.rs
+++ b/crates/turn-store/tests/tables.rs
@@ -98,7 +98,7 @@
     let StoreReply::Written { outcome, .. } = t.call(write(over()), NOW, &mut log) else {
         panic!()
     };
-    assert_eq!(outcome, WriteOutcome::Held, "its lease runs");
+    assert_eq!(outcome, WriteOutcome::LeaseActive, "its lease runs");
     // The same node in a later life: what it held before has lapsed.
     t.call(open(1, 2, 50, None), NOW, &mut log);
     let StoreReply::Written { outcome, .. } = t.call(write(over()), NOW, &mut log) else {
