--- a/crates/agreement/tests/contact.rs
+++ b/crates/consensus/tests/contact.rs
@@ -2,8 +2,8 @@
 //! without it does.
 mod model;
 
-use agreement::core::Event;
-use agreement::prelude::*;
+use consensus::core::Event;
+use consensus::prelude::*;
 use model::*;
 
 fn led(ids: &[u64]) -> (World, u64) {
--- a/crates/agreement/tests/disk.rs
+++ b/crates/consensus/tests/disk.rs
@@ -1,9 +1,9 @@
 //! The consensus disk under losses of power at every step: what is read back is, in every point, one
 //! of the states between the last acknowledged one and the newest.
-use agreement::core::TermLog;
-use agreement::prelude::*;
-use agreement::store::SnapshotWrite;
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
+use consensus::core::TermLog;
+use consensus::prelude::*;
+use consensus::store::SnapshotWrite;
 use simulated_disk::{SimulatedDisk, Trouble};
 
 const DIR: &str = "/data/agreement";
--- a/crates/agreement/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Learners, joint changes, and cells that were removed.
 mod model;
 
-use agreement::core::Event;
+use consensus::core::Event;
 use model::*;
 
 fn led(ids: &[u64]) -> (World, u64) {
--- a/crates/agreement/tests/model/mod.rs
+++ b/crates/consensus/tests/model/mod.rs
@@ -1,8 +1,8 @@
 //! A deterministic world of cells: links that are cut in one direction or both, messages that are lost,
 //! repeated and reordered, crashes, wipes, and checks after every step.
 #![allow(dead_code, reason = "each test file uses a part")]
-use agreement::core::{Effect, Event, HardState, RoleState, TermLog, Tuning};
-use agreement::prelude::*;
+use consensus::core::{Effect, Event, HardState, RoleState, TermLog, Tuning};
+use consensus::prelude::*;
 
 /// One beat of the world's clock.
 pub const STEP: Duration = Duration::from_millis(60);
--- a/crates/agreement/tests/schedules.rs
+++ b/crates/consensus/tests/schedules.rs
@@ -1,9 +1,9 @@
 //! Schedules of cuts, losses, crashes, wipes and member changes, generated and by hand.
 mod model;
 
-use agreement::core::{Event, HardState, TermLog};
-use agreement::prelude::*;
 use arbtest::arbitrary::{Result as Generated, Unstructured};
+use consensus::core::{Event, HardState, TermLog};
+use consensus::prelude::*;
 use model::*;
 
 #[test]
--- a/crates/agreement/tests/snapshots.rs
+++ b/crates/consensus/tests/snapshots.rs
@@ -1,8 +1,8 @@
 //! Snapshots in chunks, entries kept below them, and what a member that was away needs.
 mod model;
 
-use agreement::core::{Event, Tuning};
-use agreement::prelude::*;
+use consensus::core::{Event, Tuning};
+use consensus::prelude::*;
 use model::*;
 
 fn chunks(sent: &[Flight], to: u64) -> Vec<u64> {
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -7,7 +7,7 @@
 pub use crate::feed::{FeedBook, FollowFrom, OpenedFeed, Wants, KEPT, KEPT_BYTES};
 pub use crate::orders::{ChangedPart, DeskEvent, OrderDesk, UnreadableState};
 pub use crate::state::{order_digest, CellState, ConfirmedOrders};
-pub use agreement::prelude::{
+pub use consensus::prelude::{
     AgreementDisk, ConsensusNode, Effect, Event, HardState, SnapshotWrite, Tuning,
 };
 pub use inner_protocol::cells::{
--- a/crates/control-cell/tests/core_schedules.rs
+++ b/crates/control-cell/tests/core_schedules.rs
@@ -4,11 +4,11 @@
 //! it started, before its predecessor's silence can be noticed, or late. At every step, as many further
 //! losses as are still tolerated leave a majority and a copy of all that was agreed on; a loss that is over
 //! is made good a margin before it stops counting.
-#[path = "../../agreement/tests/model/mod.rs"]
+#[path = "../../consensus/tests/model/mod.rs"]
 mod model;
 
-use agreement::core::Event;
 use arbtest::arbitrary::{Result as Generated, Unstructured};
+use consensus::core::Event;
 use control_cell::prelude::*;
 use model::{World, STEP};
 use node_base::settings::{Bounds, Tolerated};
--- a/crates/control-cell/tests/history_model/cells.rs
+++ b/crates/control-cell/tests/history_model/cells.rs
@@ -1,6 +1,6 @@
 //! Cells without disks and sockets: real consensus nodes and order desks, messages in a bag.
 use super::spec::{Config, GetAnswer, Order, PutAnswer};
-use agreement::core::TermLog;
+use consensus::core::TermLog;
 use control_cell::prelude::*;
 
 /// One attempt of a call: answers to older attempts find nobody.
--- a/crates/control-cell/tests/membership_bounds.rs
+++ b/crates/control-cell/tests/membership_bounds.rs
@@ -1,5 +1,5 @@
 //! The waits of the membership duty keep to the bounds in the settings.
-use agreement::core::Tuning;
+use consensus::core::Tuning;
 use control_cell::prelude::*;
 use node_base::settings::Bounds;
 
--- a/crates/control-cell/tests/slow_link/mod.rs
+++ b/crates/control-cell/tests/slow_link/mod.rs
@@ -1,6 +1,6 @@
 //! Three cells in virtual time, one of them behind a slow link: messages take their size's time on it,
 //! what is saved takes a disk's time, and a reader asks the returned cell as an operator does.
-use agreement::core::TermLog;
+use consensus::core::TermLog;
 use control_cell::prelude::*;
 
 const CELLS: [u64; 3] = [1, 2, 3];
--- a/crates/node-base/tests/reload.rs
+++ b/crates/node-base/tests/reload.rs
@@ -203,7 +203,10 @@
 #[test]
 fn a_first_start_that_is_over_asks_for_nothing() {
     let mut r = Reloader::new("f", WHOLE).unwrap();
-    for text in [WHOLE.replace("firstStart = true", "firstStart = false"), WHOLE.replace("firstStart = true\n", "")] {
+    for text in [
+        WHOLE.replace("firstStart = true", "firstStart = false"),
+        WHOLE.replace("firstStart = true\n", ""),
+    ] {
         let Reading::Taken { taken, waiting, .. } = settled(&mut r, &text) else {
             panic!("not taken")
         };
--- a/crates/stand-ins/tests/landed_versions.rs
+++ b/crates/stand-ins/tests/landed_versions.rs
@@ -4,7 +4,7 @@
 //! The files under `landed/` were written by the code before `StoreOwner` and `lossCounted` (8051431): a store
 //! with turns of two programs, settled and unsettled attempts; a cell with 280 configurations, a store set, a
 //! retirement and a routing trial; and a frame of each kind (`frames.txt`: name and hex).
-use agreement::prelude::LogPosition;
+use consensus::prelude::LogPosition;
 use control_cell::prelude::{CellHandle, TrialRequest};
 use dispatcher::prelude::{Call, CallPoint, NewAttempt, Pinned};
 use inner_protocol::cells::*;
--- a/crates/stand-ins/tests/time_to_redundancy.rs
+++ b/crates/stand-ins/tests/time_to_redundancy.rs
@@ -1,6 +1,6 @@
 //! The time from a loss until full redundancy: the waits of the leader and of transfers, added up at their
 //! worst, stay below `catchUpS`, when the next loss may come.
-use agreement::core::Tuning;
+use consensus::core::Tuning;
 use control_cell::actor::DUTY_EVERY;
 use control_cell::prelude::RecoveryBounds;
 use std::time::Duration;
