--- a/crates/consensus/src/prelude.rs
+++ b/crates/consensus/src/prelude.rs
@@ -3,9 +3,9 @@
     ConsensusNode, Effect, Event, FollowerStatus, HardState, RoleState, TermLog, Tuning,
 };
 pub use crate::store::{AgreementDisk, SnapshotWrite};
-pub use inner_protocol::cells::{
+pub use internal_protocol::cells::{
     Body, Entry, LogPosition, Member, Membership, Msg, Snapshot, SnapshotChunk,
 };
-pub use inner_protocol::prelude::*;
+pub use internal_protocol::prelude::*;
 pub use statig::prelude::{state_machine, InitializedStateMachine, IntoStateMachineExt, Response};
 pub use statig::Response::{Handled, Transition};
--- a/crates/control-cell/src/actor/status.rs
+++ b/crates/control-cell/src/actor/status.rs
@@ -1,7 +1,7 @@
 //! A cell's status, for those who look after it.
 use super::run::Actor;
 use crate::prelude::*;
-use inner_protocol::cells::{StoreSummary, ZoneSummary};
+use internal_protocol::cells::{StoreSummary, ZoneSummary};
 
 impl Actor {
     /// This cell's own view; it needs no majority.
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -10,16 +10,16 @@
 pub use consensus::prelude::{
     AgreementDisk, ConsensusNode, Effect, Event, HardState, SnapshotWrite, Tuning,
 };
-pub use inner_protocol::cells::{
+pub use internal_protocol::cells::{
     Body, BodyDigest, CellCall, CellReply, CellStatus, Change, Entry, LogPosition, Member,
     Membership, Msg, Outcome, RetireState, Snapshot, TrialReport, TrialRequest,
 };
-pub use inner_protocol::feed::{
+pub use internal_protocol::feed::{
     EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics, ZoneTable,
 };
-pub use inner_protocol::patch::Patch;
-pub use inner_protocol::prelude::*;
-pub use inner_protocol::stores::{
+pub use internal_protocol::patch::Patch;
+pub use internal_protocol::prelude::*;
+pub use internal_protocol::stores::{
     Retirement, StoreEntry, StoreSet, StoreState, StoreStatus, VersionSpan,
 };
 pub use operator_config::prelude::{check_config, Fault};
--- a/crates/feed-follow/src/prelude.rs
+++ b/crates/feed-follow/src/prelude.rs
@@ -4,11 +4,11 @@
 pub use crate::rank::CellRank;
 pub use crate::seeds::Seeds;
 pub use crate::view::{FeedView, ViewedCells, ViewedConfig, ViewedTrial};
-pub use inner_protocol::feed::{
+pub use internal_protocol::feed::{
     EngineEntry, FeedItem, FeedMsg, FollowMsg, Numbered, Topics, ZoneTable,
 };
-pub use inner_protocol::patch::Patch;
-pub use inner_protocol::prelude::*;
-pub use inner_protocol::stores::{StoreSet, StoreStatus};
+pub use internal_protocol::patch::Patch;
+pub use internal_protocol::prelude::*;
+pub use internal_protocol::stores::{StoreSet, StoreStatus};
 pub use statig::prelude::{state_machine, InitializedStateMachine, IntoStateMachineExt, Response};
 pub use statig::Response::{Handled, Transition};
--- a/crates/inner-protocol/tests/groups.rs
+++ b/crates/internal-protocol/tests/groups.rs
@@ -1,6 +1,6 @@
 //! Groups of stores: what a change of the placement may do to them, and who may speak for a program.
-use inner_protocol::prelude::*;
-use inner_protocol::stores::*;
+use internal_protocol::prelude::*;
+use internal_protocol::stores::*;
 
 const SIZES: [usize; 4] = [4, 5, 9, 15];
 const TOLERANCES: [u32; 3] = [1, 2, 3];
--- a/crates/inner-protocol/tests/patch.rs
+++ b/crates/internal-protocol/tests/patch.rs
@@ -1,4 +1,4 @@
-use inner_protocol::patch::Patch;
+use internal_protocol::patch::Patch;
 
 /// Any two lists of routes: the patch gives the new text back, and from another text nothing.
 #[test]
--- a/crates/request-proxy/src/prelude.rs
+++ b/crates/request-proxy/src/prelude.rs
@@ -23,8 +23,8 @@
 };
 pub use http::request::Parts as RequestParts;
 pub use http::{HeaderMap, HeaderValue};
-pub use inner_protocol::prelude::*;
-pub use inner_protocol::stores::*;
+pub use internal_protocol::prelude::*;
+pub use internal_protocol::stores::*;
 pub use operator_config::prelude::{
     check_config, OperatorConfig, Route, RouteKind, RouteTable, Service,
 };
--- a/crates/spokebank/tests/settings_reload.rs
+++ b/crates/spokebank/tests/settings_reload.rs
@@ -2,8 +2,8 @@
 //! what is new is used. Before settings were reread, SIGHUP ended each of these processes.
 mod support;
 
-use inner_protocol::cells::{CellCall, CellReply, CellStatus};
-use inner_protocol::stores::{StoreCall, StoreReply};
+use internal_protocol::cells::{CellCall, CellReply, CellStatus};
+use internal_protocol::stores::{StoreCall, StoreReply};
 use nix::sys::signal::Signal;
 use node_base::settings::{CELL_PORT, STORE_PORT};
 use stand_ins::prelude::*;
--- a/crates/stand-ins/tests/landed_versions.rs
+++ b/crates/stand-ins/tests/landed_versions.rs
@@ -7,11 +7,11 @@
 use consensus::prelude::LogPosition;
 use control_cell::prelude::{CellHandle, TrialRequest};
 use dispatcher::prelude::{Call, CallPoint, NewAttempt, Pinned};
-use inner_protocol::cells::*;
-use inner_protocol::feed::*;
-use inner_protocol::patch::Patch;
-use inner_protocol::prelude::*;
-use inner_protocol::stores::*;
+use internal_protocol::cells::*;
+use internal_protocol::feed::*;
+use internal_protocol::patch::Patch;
+use internal_protocol::prelude::*;
+use internal_protocol::stores::*;
 use turn_store::prelude::{StoreIdentity, StoreOwner};
 
 /// The identity that the store's disk was given.
--- a/crates/stand-ins/tests/routing_trial.rs
+++ b/crates/stand-ins/tests/routing_trial.rs
@@ -1,5 +1,5 @@
 //! A routing trial over real sockets: a cell, three stores, an agent and two proxies, against stand-ins.
-use inner_protocol::prelude::*;
+use internal_protocol::prelude::*;
 use request_proxy::Running;
 use routing_trial::prelude::{arm_of, Arm, Breach};
 use stand_ins::prelude::*;
--- a/crates/stand-ins/tests/support/mod.rs
+++ b/crates/stand-ins/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! A proxy alone, over loopback, fed by hand, against engines that follow scripts.
-use inner_protocol::feed::{EngineEntry, ZoneTable};
-use inner_protocol::prelude::ByteBuf;
+use internal_protocol::feed::{EngineEntry, ZoneTable};
+use internal_protocol::prelude::ByteBuf;
 use request_proxy::prelude::{App, FeedItem, LifeEvent, LifeState};
 use stand_ins::prelude::*;
 
--- a/crates/trial-tool/src/prelude.rs
+++ b/crates/trial-tool/src/prelude.rs
@@ -1,7 +1,7 @@
 //! The one module every file of this package imports.
 pub use crate::ask::ask_cells;
 pub use crate::plot::draw_plot;
-pub use inner_protocol::cells::{CellCall, CellReply, Outcome, TrialReport, TrialRequest};
+pub use internal_protocol::cells::{CellCall, CellReply, Outcome, TrialReport, TrialRequest};
 pub use node_base::prelude::*;
 pub use node_base::settings::CELL_PORT;
 pub use routing_trial::prelude::{check_spec, say, Evidence, Point, TrialSpec, Verdict};
