--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -10,6 +10,7 @@
 pub use consensus::prelude::{
     AgreementDisk, ConsensusNode, Effect, Event, HardState, SnapshotWrite, Tuning,
 };
+pub use external_api::prelude::*;
 pub use internal_protocol::cells::{
     Body, BodyDigest, CellCall, CellReply, CellStatus, Change, Entry, LogPosition, Member,
     Membership, Msg, Outcome, RetireState, Snapshot, TrialReport, TrialRequest,
@@ -23,7 +24,6 @@
     Retirement, StoreEntry, StoreSet, StoreState, StoreStatus, VersionSpan,
 };
 pub use operator_config::prelude::{check_config, Fault};
-pub use outer_calls::prelude::*;
 pub use routing_trial::prelude::{judge, OutcomeLedger, Point, TrialStatus};
 pub use serde_json::{json, Value};
 pub use spdlog::{info, warn};
--- a/crates/outer-calls/tests/names.rs
+++ b/crates/external-api/tests/names.rs
@@ -1,4 +1,4 @@
-use outer_calls::names::*;
+use external_api::names::*;
 
 fn load(name: &str) -> serde_json::Value {
     let p = format!("{}/../../openapi/{name}.json", env!("CARGO_MANIFEST_DIR"));
--- a/crates/outer-calls/tests/platform.rs
+++ b/crates/external-api/tests/platform.rs
@@ -1,4 +1,4 @@
-use outer_calls::prelude::ListPage;
+use external_api::prelude::ListPage;
 
 #[test]
 fn reads_a_page_as_the_platform_writes_it() {
--- a/crates/outer-calls/tests/report.rs
+++ b/crates/external-api/tests/report.rs
@@ -1,4 +1,4 @@
-use outer_calls::prelude::Report;
+use external_api::prelude::Report;
 
 #[test]
 fn reads_a_report_as_engines_write_it() {
--- a/crates/request-proxy/src/prelude.rs
+++ b/crates/request-proxy/src/prelude.rs
@@ -18,6 +18,7 @@
     Call, CallPoint, ClaimDecision, ClaimTally, Epoch, Evidence, HeldLeases, Limits, NewAttempt,
     Pinned, RecoverDecision, RecoverTally,
 };
+pub use external_api::prelude::*;
 pub use feed_follow::prelude::{
     follow_cells, FeedItem, FeedUpdate, FeedView, FollowSettings, Seeds, Topics,
 };
@@ -28,7 +29,6 @@
 pub use operator_config::prelude::{
     check_config, OperatorConfig, Route, RouteKind, RouteTable, Service,
 };
-pub use outer_calls::prelude::*;
 pub use routing_trial::prelude::{
     arm_of, bucket_of, read_answered_by, write_answered_by, Arm, Mark, NodeReport, Outcome,
     TrialRecord,
