--- a/crates/feed-follow/tests/base.rs
+++ b/crates/feed-client/tests/base.rs
@@ -1,5 +1,5 @@
 //! Configurations that come as differences are made whole.
-use feed_follow::prelude::*;
+use feed_client::prelude::*;
 
 fn body(n: u64) -> ByteBuf {
     let routes: String = (0..20).map(|i| format!("{{\"r\":{}}},", i * (1 + n % 3))).collect();
--- a/crates/feed-follow/tests/machine.rs
+++ b/crates/feed-client/tests/machine.rs
@@ -1,6 +1,6 @@
 //! The states of a follower's link.
-use feed_follow::link::machine::{Feed, FeedEvent, FeedState};
-use feed_follow::prelude::*;
+use feed_client::link::machine::{Feed, FeedEvent, FeedState};
+use feed_client::prelude::*;
 
 #[test]
 fn follows_only_after_a_majority_confirmed() {
--- a/crates/feed-follow/tests/rank.rs
+++ b/crates/feed-client/tests/rank.rs
@@ -1,5 +1,5 @@
 //! Which cell a follower links to.
-use feed_follow::prelude::*;
+use feed_client::prelude::*;
 
 fn names(n: usize) -> Vec<String> {
     (0..n).map(|i| format!("10.0.0.{i}:1")).collect()
--- a/crates/feed-follow/tests/view.rs
+++ b/crates/feed-client/tests/view.rs
@@ -1,5 +1,5 @@
 //! The newest of everything that the feed sent.
-use feed_follow::prelude::*;
+use feed_client::prelude::*;
 use routing_trial::prelude::check_spec;
 
 fn config(index: u64, version: u64) -> FeedItem {
--- a/crates/request-proxy/src/prelude.rs
+++ b/crates/request-proxy/src/prelude.rs
@@ -19,7 +19,7 @@
     Pinned, RecoverDecision, RecoverTally,
 };
 pub use external_api::prelude::*;
-pub use feed_follow::prelude::{
+pub use feed_client::prelude::{
     follow_cells, FeedItem, FeedUpdate, FeedView, FollowSettings, Seeds, Topics,
 };
 pub use http::request::Parts as RequestParts;
