--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -1,6 +1,6 @@
 //! Drives the consensus node: what it wants saved is on disk before anything that follows is said.
 use crate::prelude::*;
-use node_base::settings::CELL_PORT;
+use node_runtime::settings::CELL_PORT;
 
 /// Entries above the snapshot before the next one is made.
 const SNAPSHOT_EVERY: u64 = 256;
--- a/crates/control-cell/src/actor/duties.rs
+++ b/crates/control-cell/src/actor/duties.rs
@@ -2,7 +2,7 @@
 use super::run::Actor;
 use super::trial::running_trial;
 use crate::prelude::*;
-use node_base::settings::CELL_PORT;
+use node_runtime::settings::CELL_PORT;
 
 impl Actor {
     pub fn duties(&mut self, now: Instant) -> bool {
--- a/crates/control-cell/src/duties/members.rs
+++ b/crates/control-cell/src/duties/members.rs
@@ -5,7 +5,7 @@
 //! against `2T + 1` voters. Only machines whose loss counts vote, as far as there are enough: any number of
 //! others may go.
 use crate::prelude::*;
-use node_base::settings::Tolerated;
+use node_runtime::settings::Tolerated;
 
 /// More voters than these only make each decision slower.
 const MOST_VOTERS: usize = 9;
--- a/crates/control-cell/src/duties/membership_bounds.rs
+++ b/crates/control-cell/src/duties/membership_bounds.rs
@@ -3,7 +3,7 @@
 //! back, and the next loss may come right then. By that time, less a margin, a majority of the right size
 //! must stand again.
 use crate::prelude::*;
-use node_base::settings::Bounds;
+use node_runtime::settings::Bounds;
 
 /// Waits of the membership duty and of the zones' holders.
 ///
--- a/crates/control-cell/src/follow/mod.rs
+++ b/crates/control-cell/src/follow/mod.rs
@@ -1,6 +1,6 @@
 //! Serves the numbered feed to agents and stores.
 use crate::prelude::*;
-use node_base::links::{frame_stream, serve_streams};
+use node_runtime::links::{frame_stream, serve_streams};
 
 /// How long a follower may take to say what it wants.
 const FIRST: Duration = Duration::from_secs(2);
--- a/crates/control-cell/src/lib.rs
+++ b/crates/control-cell/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod state;
 
 use crate::prelude::*;
-use node_base::settings::{CELL_PORT, FEED_PORT};
+use node_runtime::settings::{CELL_PORT, FEED_PORT};
 
 /// Where a cell listens; others know its addresses from its settings.
 pub struct CellListeners {
@@ -57,7 +57,7 @@
     let CellListeners { peers, feed, control } = listeners;
     let cell = actor::start(&shared)?;
     let h = cell.clone();
-    tokio::spawn(node_base::links::serve_calls(peers, move |q: CellCall| {
+    tokio::spawn(node_runtime::links::serve_calls(peers, move |q: CellCall| {
         let h = h.clone();
         async move { h.answer(q).await }
     }));
--- a/crates/control-cell/tests/common/mod.rs
+++ b/crates/control-cell/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Cells on threads of their own, over loopback.
 #![allow(dead_code, reason = "each test file uses some of these")]
 use control_cell::prelude::*;
-use node_base::settings::CELL_PORT;
+use node_runtime::settings::CELL_PORT;
 use std::future::Future;
 use tokio::runtime::Builder;
 
@@ -57,7 +57,7 @@
         );
         let file = dir.join(format!("core-{i}.toml"));
         std::fs::write(&file, text).unwrap();
-        node_base::settings::read_settings(&file.display().to_string()).unwrap()
+        node_runtime::settings::read_settings(&file.display().to_string()).unwrap()
     }
 
     /// A cell on a thread of its own.
@@ -72,7 +72,7 @@
                 let inner = TcpListener::bind(settings.own_addr(CELL_PORT)).await.unwrap();
                 let cell = control_cell::actor::start(&settings).unwrap();
                 let h = cell.clone();
-                tokio::spawn(node_base::links::serve_calls(inner, move |q: CellCall| {
+                tokio::spawn(node_runtime::links::serve_calls(inner, move |q: CellCall| {
                     let h = h.clone();
                     async move { h.answer(q).await }
                 }));
--- a/crates/control-cell/tests/core_schedules.rs
+++ b/crates/control-cell/tests/core_schedules.rs
@@ -11,7 +11,7 @@
 use consensus::core::Event;
 use control_cell::prelude::*;
 use model::{World, STEP};
-use node_base::settings::{Bounds, Tolerated};
+use node_runtime::settings::{Bounds, Tolerated};
 
 /// How long a machine still counts as lost after it is back: the smallest value for which the waits leave
 /// their margin, and others.
--- a/crates/control-cell/tests/members.rs
+++ b/crates/control-cell/tests/members.rs
@@ -4,7 +4,7 @@
     BTreeMap, CorePolicy, Duration, JoinRequest, Member, MemberObservation, Membership,
     MembershipBounds,
 };
-use node_base::settings::{Bounds, Tolerated};
+use node_runtime::settings::{Bounds, Tolerated};
 
 const CALM: MemberObservation = MemberObservation {
     silent: Duration::ZERO,
--- a/crates/control-cell/tests/membership_bounds.rs
+++ b/crates/control-cell/tests/membership_bounds.rs
@@ -1,7 +1,7 @@
 //! The waits of the membership duty keep to the bounds in the settings.
 use consensus::core::Tuning;
 use control_cell::prelude::*;
-use node_base::settings::Bounds;
+use node_runtime::settings::Bounds;
 
 fn settings(catch_up_ms: u64, drain_ms: u64) -> Bounds {
     Bounds {
--- a/crates/doctor/src/prelude.rs
+++ b/crates/doctor/src/prelude.rs
@@ -5,5 +5,5 @@
 pub use internal_protocol::cells::{CellCall, CellReply, CellStatus, StoreSummary, ZoneSummary};
 pub use internal_protocol::prelude::*;
 pub use internal_protocol::stores::{StoreCall, StoreReply, StoreState};
-pub use node_base::disk::verify_segments;
-pub use node_base::settings::{CELL_PORT, STORE_PORT};
+pub use node_runtime::disk::verify_segments;
+pub use node_runtime::settings::{CELL_PORT, STORE_PORT};
--- a/crates/doctor/tests/findings.rs
+++ b/crates/doctor/tests/findings.rs
@@ -1,7 +1,7 @@
 use doctor::prelude::*;
 
 fn settings() -> NodeSettings {
-    node_base::settings::parse_settings(
+    node_runtime::settings::parse_settings(
         "f",
         "nodeName = \"n\"\nipAddress = \"10.0.0.1\"\nzone = \"a\"\ninternalPortRange = [7000,7015]\n\
          seedAddresses = [\"10.0.0.2:80\"]\n",
--- a/crates/external-api/src/prelude.rs
+++ b/crates/external-api/src/prelude.rs
@@ -7,4 +7,4 @@
 pub use hyper::body::Incoming;
 pub use hyper::{Method, Request, Response, StatusCode};
 pub use hyper_util::rt::TokioIo;
-pub use node_base::prelude::*;
+pub use node_runtime::prelude::*;
--- a/crates/feed-agent/src/serve/mod.rs
+++ b/crates/feed-agent/src/serve/mod.rs
@@ -1,6 +1,6 @@
 //! Serves the view to the proxy on the same machine.
 use crate::prelude::*;
-use node_base::links::{frame_stream, serve_streams};
+use node_runtime::links::{frame_stream, serve_streams};
 
 /// Feeds every proxy that connects, and gives on what it reports.
 pub async fn serve_proxy(
--- a/crates/feed-client/src/link/mod.rs
+++ b/crates/feed-client/src/link/mod.rs
@@ -5,8 +5,8 @@
 
 use crate::prelude::*;
 use machine::{Feed, FeedEvent, FeedState};
-use node_base::links::{connect, frame_stream, Wire};
-use node_base::settings::FEED_PORT;
+use node_runtime::links::{connect, frame_stream, Wire};
+use node_runtime::settings::FEED_PORT;
 
 /// A follower: who it is, and where it first looks for cells.
 pub struct FollowSettings {
--- a/crates/feed-client/src/seeds/mod.rs
+++ b/crates/feed-client/src/seeds/mod.rs
@@ -1,6 +1,6 @@
 //! Where a follower looks before, or when, the cells that it learnt of don't answer.
 use crate::prelude::*;
-use node_base::settings::CELL_PORT;
+use node_runtime::settings::CELL_PORT;
 
 /// The first addresses of a follower.
 #[derive(Debug, Clone)]
--- a/crates/internal-protocol/src/prelude.rs
+++ b/crates/internal-protocol/src/prelude.rs
@@ -2,7 +2,7 @@
 pub use dispatcher::prelude::{
     AttemptRecord, Incarnations, LedgerWrite, Limits, ProgramLedger, ProgramView, WriteOutcome,
 };
-pub use node_base::prelude::*;
+pub use node_runtime::prelude::*;
 pub use routing_trial::prelude::{Evidence, NodeReport, TrialRecord, TrialSpec, Verdict};
 pub use serde_bytes::ByteBuf;
 
--- a/crates/internal-protocol/tests/patch.rs
+++ b/crates/internal-protocol/tests/patch.rs
@@ -34,6 +34,6 @@
     let p = Patch::between(old.as_bytes(), new.as_bytes());
     assert_eq!(p.apply(old.as_bytes()).as_deref(), Some(new.as_bytes()));
     assert!(p.size() < 250, "{}", p.size());
-    let back: Patch = ciborium::from_reader(&node_base::links::encode(&p)[..]).unwrap();
+    let back: Patch = ciborium::from_reader(&node_runtime::links::encode(&p)[..]).unwrap();
     assert_eq!(back, p);
 }
--- a/crates/node-base/tests/disk.rs
+++ b/crates/node-runtime/tests/disk.rs
@@ -1,10 +1,10 @@
 //! The log and snapshots on a disk that loses power at every step of generated histories, gets full
 //! and fails to sync; and on the real one.
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
-use node_base::disk::{
+use node_runtime::disk::{
     load_snapshot_on, save_snapshot_on, verify_segments, DiskOps, RealDisk, SegmentLog,
 };
-use node_base::prelude::{NodeError, NodeResult};
+use node_runtime::prelude::{NodeError, NodeResult};
 use simulated_disk::{SimulatedDisk, Trouble};
 use std::path::{Path, PathBuf};
 
--- a/crates/node-base/tests/links.rs
+++ b/crates/node-runtime/tests/links.rs
@@ -1,8 +1,8 @@
 //! Links over loopback: frames in both directions at once, peers that stop reading, broken frames.
 use arbtest::arbitrary::Unstructured;
 use bytes::Bytes;
-use node_base::links::{serve_calls, serve_connection, MOST_FRAME};
-use node_base::prelude::{Caller, LinkError, LinkResult};
+use node_runtime::links::{serve_calls, serve_connection, MOST_FRAME};
+use node_runtime::prelude::{Caller, LinkError, LinkResult};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/node-base/tests/reload.rs
+++ b/crates/node-runtime/tests/reload.rs
@@ -1,7 +1,7 @@
 //! What a running process makes of new readings of its settings file: comparison, classification and
 //! refusal, without a file.
-use node_base::prelude::*;
-use node_base::settings::{
+use node_runtime::prelude::*;
+use node_runtime::settings::{
     compare_settings, parse_settings, take_at_once, Reading, Reloader, TakesEffect, FIELD_RULES,
 };
 
--- a/crates/node-base/tests/settings.rs
+++ b/crates/node-runtime/tests/settings.rs
@@ -1,5 +1,5 @@
 //! What is read from a settings file, and which faults are told.
-use node_base::settings::parse_settings;
+use node_runtime::settings::parse_settings;
 
 const BASE: &str = "nodeName = \"n1\"\nipAddress = \"10.1.0.30\"\nzone = \"a\"\n\
     internalPortRange = [7380,7395]\nseedAddresses = [\"10.1.0.33:8144\"]\n";
--- a/crates/node-base/tests/util.rs
+++ b/crates/node-runtime/tests/util.rs
@@ -1,5 +1,5 @@
 //! Small helpers.
-use node_base::prelude::rank_by_rendezvous;
+use node_runtime::prelude::rank_by_rendezvous;
 
 #[test]
 fn rendezvous_moves_only_what_was_lost() {
--- a/crates/request-proxy/src/app/feed.rs
+++ b/crates/request-proxy/src/app/feed.rs
@@ -1,7 +1,7 @@
 //! Updates from the agent beside, and regular housekeeping.
 use super::locked;
 use crate::prelude::*;
-use node_base::settings::AGENT_PORT;
+use node_runtime::settings::AGENT_PORT;
 
 /// Follows the feed of the agent beside and applies it.
 pub fn follow_agent(app: &Arc<App>) {
--- a/crates/routing-trial/src/prelude.rs
+++ b/crates/routing-trial/src/prelude.rs
@@ -8,4 +8,4 @@
 pub use crate::verdict::{
     compare_arms, excess_evidence, judge, say, Breach, Estimate, Evidence, Point, Verdict,
 };
-pub use node_base::prelude::*;
+pub use node_runtime::prelude::*;
--- a/crates/simulated-disk/src/lib.rs
+++ b/crates/simulated-disk/src/lib.rs
@@ -6,7 +6,7 @@
 
 use contents::{Change, Contents};
 use names::{NameChange, Names};
-use node_base::disk::{DiskFile, DiskOps};
+use node_runtime::disk::{DiskFile, DiskOps};
 use std::fmt::Display;
 use std::io;
 use std::path::{Path, PathBuf};
--- a/crates/spokebank/src/main.rs
+++ b/crates/spokebank/src/main.rs
@@ -14,7 +14,7 @@
 /// Exit codes: 0 all is well, else as above.
 fn main() -> NodeResult<()> {
     let args: Spokebank = argh::from_env();
-    node_base::logs::start_logs(&args.log_level)?;
+    node_runtime::logs::start_logs(&args.log_level)?;
     let code = match commands::run(&args) {
         Ok(code) => code,
         Err(e) => {
--- a/crates/spokebank/tests/settings_reload.rs
+++ b/crates/spokebank/tests/settings_reload.rs
@@ -5,7 +5,7 @@
 use internal_protocol::cells::{CellCall, CellReply, CellStatus};
 use internal_protocol::stores::{StoreCall, StoreReply};
 use nix::sys::signal::Signal;
-use node_base::settings::{CELL_PORT, STORE_PORT};
+use node_runtime::settings::{CELL_PORT, STORE_PORT};
 use stand_ins::prelude::*;
 use std::io::Write;
 use support::{until, Net, Node, NEEDS_RESTART, REFUSED, TAKEN};
--- a/crates/spokebank/tests/support/mod.rs
+++ b/crates/spokebank/tests/support/mod.rs
@@ -54,7 +54,7 @@
 
     /// The port on which an agent feeds its proxy.
     pub fn agent(&self) -> String {
-        format!("127.0.0.1:{}", self.first_port + node_base::settings::AGENT_PORT)
+        format!("127.0.0.1:{}", self.first_port + node_runtime::settings::AGENT_PORT)
     }
 
     /// Settings of a machine.
--- a/crates/stand-ins/src/machines/mod.rs
+++ b/crates/stand-ins/src/machines/mod.rs
@@ -1,7 +1,7 @@
 //! Machines on loopback: a network of their own, free ports, a folder, and settings as the platform
 //! writes them.
 use crate::prelude::*;
-use node_base::settings::read_settings;
+use node_runtime::settings::read_settings;
 
 /// Ports of one network: sixteen in a row that nobody uses, the first eight for the system's own calls.
 const PORTS_IN_A_ROW: u16 = 16;
--- a/crates/stand-ins/src/prelude.rs
+++ b/crates/stand-ins/src/prelude.rs
@@ -8,5 +8,5 @@
 pub use hyper::body::{Frame, Incoming};
 pub use hyper::{Method, Request, Response, StatusCode};
 pub use hyper_util::rt::TokioIo;
-pub use node_base::prelude::*;
+pub use node_runtime::prelude::*;
 pub use std::convert::Infallible;
--- a/crates/stand-ins/tests/catch_up.rs
+++ b/crates/stand-ins/tests/catch_up.rs
@@ -5,7 +5,7 @@
 //! This shows order and completeness with real sockets and disks, however busy the machine is. How long
 //! it may take is held by `control-cell/tests/catch_up.rs`, in virtual time.
 use control_cell::{run_cell_on, CellListeners};
-use node_base::settings::{CELL_PORT, FEED_PORT};
+use node_runtime::settings::{CELL_PORT, FEED_PORT};
 use stand_ins::prelude::*;
 use std::sync::LazyLock;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/stand-ins/tests/landed_versions.rs
+++ b/crates/stand-ins/tests/landed_versions.rs
@@ -127,7 +127,7 @@
          control = \"127.9.9.61:28144\"\n[limits]\nmemoryMb = 256\nfileDescriptors = 2000\ndiskMb = 64\n",
         dir.display()
     );
-    node_base::settings::parse_settings("landed", &text).unwrap()
+    node_runtime::settings::parse_settings("landed", &text).unwrap()
 }
 
 /// Asks until the cell leads itself again.
@@ -145,7 +145,7 @@
 #[tokio::test]
 async fn a_cell_s_disk_is_read_whole() {
     let copied = Copied::of("cell");
-    let settings = node_base::settings::SharedSettings::from(cell_settings(&copied.0));
+    let settings = node_runtime::settings::SharedSettings::from(cell_settings(&copied.0));
     let cell = control_cell::actor::start(&settings).unwrap();
     assert_eq!(read_config(&cell).await, &b"{\"configVersion\":280}"[..]);
     let soon = || Instant::now() + Duration::from_secs(2);
--- a/crates/stand-ins/tests/support/mod.rs
+++ b/crates/stand-ins/tests/support/mod.rs
@@ -102,7 +102,7 @@
     );
     let file = std::env::temp_dir().join(format!("spokebank-{name}-{}.toml", std::process::id()));
     std::fs::write(&file, text).unwrap();
-    let read = node_base::settings::read_settings(&file.display().to_string()).unwrap();
+    let read = node_runtime::settings::read_settings(&file.display().to_string()).unwrap();
     let _ = std::fs::remove_file(&file);
     read
 }
--- a/crates/turn-store/src/actor/run.rs
+++ b/crates/turn-store/src/actor/run.rs
@@ -3,7 +3,7 @@
 use super::owner::{StoreIdentity, StoreOwner};
 use super::transfer::transfer_from_peers;
 use crate::prelude::*;
-use node_base::settings::STORE_PORT;
+use node_runtime::settings::STORE_PORT;
 
 /// Commands that wait for the owner; callers wait beyond that.
 const QUEUE: usize = 4096;
--- a/crates/turn-store/src/lib.rs
+++ b/crates/turn-store/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod tables;
 
 use crate::prelude::*;
-use node_base::settings::STORE_PORT;
+use node_runtime::settings::STORE_PORT;
 
 /// This part of the time between SIGTERM and SIGKILL is kept for the end itself.
 const END_PART: u32 = 13;
@@ -37,7 +37,7 @@
         }
     });
     let h = store.clone();
-    tokio::spawn(node_base::links::serve_calls(listener, move |q: StoreCall| {
+    tokio::spawn(node_runtime::links::serve_calls(listener, move |q: StoreCall| {
         let h = h.clone();
         async move { h.answer(q).await }
     }));
--- a/crates/turn-store/tests/disk.rs
+++ b/crates/turn-store/tests/disk.rs
@@ -1,7 +1,7 @@
 //! A store's files under losses of power at every step: records, segments, and the identity that
 //! vouches for what the records hold.
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
-use node_base::disk::{load_snapshot_on, save_snapshot_on, SegmentLog};
+use node_runtime::disk::{load_snapshot_on, save_snapshot_on, SegmentLog};
 use simulated_disk::{SimulatedDisk, Trouble};
 use turn_store::prelude::*;
 
