--- a/crates/consensus/src/core/election.rs
+++ b/crates/consensus/src/core/election.rs
@@ -100,7 +100,7 @@
 
     /// Whether a leader that is alive is known of: a follower heard it, or this cell leads and a majority
     /// answers. Such a cell helps nobody else to be elected.
-    fn knows_a_leader(&self, now: Duration) -> bool {
+    fn has_live_leader(&self, now: Duration) -> bool {
         let contact = match &self.lead {
             Some(l) => Some(l.majority_contact(self.me, self.log.membership(), now)),
             None => self.last_leader_contact,
@@ -108,7 +108,7 @@
         contact.is_some_and(|at| now < at + self.tuning.election_low)
     }
 
-    pub(super) fn asked_for_pre_vote(
+    pub(super) fn on_pre_vote_request(
         &mut self,
         from: u64,
         term: u64,
@@ -116,7 +116,7 @@
         now: Duration,
     ) {
         let ahead = term > self.hard.term && last >= self.log.end();
-        let granted = ahead && !self.knows_a_leader(now);
+        let granted = ahead && !self.has_live_leader(now);
         self.send(from, Msg::PreVoteReply { term: self.hard.term, granted });
     }
 
@@ -132,7 +132,7 @@
     /// Answered by any cell that is asked, since a candidate asks only voters of its own log, and the
     /// entry that made this cell a voter may not have come here yet. It counts only at a candidate in
     /// whose log this cell is a voter.
-    pub(super) fn asked_for_vote(
+    pub(super) fn on_vote_request(
         &mut self,
         from: u64,
         term: u64,
@@ -141,7 +141,7 @@
         now: Duration,
     ) {
         if term > self.hard.term {
-            if !forced && self.knows_a_leader(now) {
+            if !forced && self.has_live_leader(now) {
                 return;
             }
             self.newer_term(term, now);
--- a/crates/consensus/src/core/follow.rs
+++ b/crates/consensus/src/core/follow.rs
@@ -115,7 +115,7 @@
         let Some(term) = self.log.term_at(index) else { return };
         let membership = self.log.membership_at(index).clone();
         let snap = Snapshot { index, term, membership, data };
-        let (entries, bytes) = (self.tuning.kept_entries, self.tuning.kept_bytes);
+        let (entries, bytes) = (self.tuning.retained_entries, self.tuning.retained_bytes);
         self.log.compact(snap.clone(), entries, bytes);
         self.out.push(Effect::SaveSnapshot(snap));
     }
--- a/crates/consensus/src/core/leader.rs
+++ b/crates/consensus/src/core/leader.rs
@@ -5,7 +5,7 @@
 use crate::prelude::*;
 
 /// Rounds older than this count as unanswered.
-const KEPT_ROUNDS: usize = 256;
+const RETAINED_ROUNDS: usize = 256;
 
 /// When a round of contact was sent.
 #[derive(Debug, Clone, Copy)]
@@ -41,7 +41,7 @@
     /// The term's first entry.
     pub first: u64,
     /// When the next round is due.
-    pub next_beat: Duration,
+    pub next_heartbeat: Duration,
     /// When this cell began to lead: it had a majority's votes then.
     pub began: Duration,
     /// Reads that wait.
@@ -58,7 +58,7 @@
             round: 0,
             rounds: VecDeque::new(),
             first,
-            next_beat: now,
+            next_heartbeat: now,
             began: now,
             readers: Vec::new(),
             successor_named: None,
@@ -68,9 +68,9 @@
     /// Begins a round of contact.
     pub fn begin_round(&mut self, now: Duration, beat: Duration) -> u64 {
         self.round += 1;
-        self.next_beat = now + beat;
+        self.next_heartbeat = now + beat;
         self.rounds.push_back(SentRound { round: self.round, at: now });
-        if self.rounds.len() > KEPT_ROUNDS {
+        if self.rounds.len() > RETAINED_ROUNDS {
             self.rounds.pop_front();
         }
         self.round
--- a/crates/consensus/src/core/log.rs
+++ b/crates/consensus/src/core/log.rs
@@ -11,7 +11,7 @@
     pub entries: Vec<Entry>,
     kept: VecDeque<Entry>,
     /// The position just before `kept`.
-    kept_after: LogPosition,
+    retained_after: LogPosition,
 }
 
 impl TermLog {
@@ -40,8 +40,8 @@
         if index == self.snap.index {
             return Some(self.snap.term);
         }
-        if index == self.kept_after.index && !self.kept.is_empty() {
-            return Some(self.kept_after.term);
+        if index == self.retained_after.index && !self.kept.is_empty() {
+            return Some(self.retained_after.term);
         }
         self.get(index).map(|e| e.term)
     }
@@ -51,7 +51,7 @@
         match index.checked_sub(self.snap.index + 1) {
             Some(above) => self.entries.get(above as usize),
             None => {
-                let below = index.checked_sub(self.kept_after.index + 1)?;
+                let below = index.checked_sub(self.retained_after.index + 1)?;
                 self.kept.get(below as usize)
             }
         }
@@ -72,7 +72,7 @@
     /// newest entries are kept within bounds.
     pub fn compact(&mut self, snap: Snapshot, most_entries: usize, most_bytes: usize) {
         if self.kept.is_empty() {
-            self.kept_after = self.snap.position();
+            self.retained_after = self.snap.position();
         }
         let above = self.entries.split_off((snap.index - self.snap.index) as usize);
         let below = std::mem::replace(&mut self.entries, above);
@@ -82,7 +82,7 @@
         while self.kept.len() > most_entries || bytes > most_bytes {
             let Some(gone) = self.kept.pop_front() else { break };
             bytes -= gone.body.size();
-            self.kept_after = gone.position();
+            self.retained_after = gone.position();
         }
     }
 
--- a/crates/consensus/src/core/node.rs
+++ b/crates/consensus/src/core/node.rs
@@ -129,7 +129,7 @@
     /// When `Tick` is next of use.
     pub fn next_tick(&self) -> Duration {
         match &self.lead {
-            Some(l) => l.next_beat,
+            Some(l) => l.next_heartbeat,
             None => self.deadline,
         }
     }
@@ -150,9 +150,9 @@
 
     fn received(&mut self, from: u64, msg: Msg, now: Duration) {
         match msg {
-            Msg::PreVote { term, last } => self.asked_for_pre_vote(from, term, last, now),
+            Msg::PreVote { term, last } => self.on_pre_vote_request(from, term, last, now),
             Msg::PreVoteReply { term, granted } => self.pre_vote_reply(from, term, granted, now),
-            Msg::Vote { term, last, forced } => self.asked_for_vote(from, term, last, forced, now),
+            Msg::Vote { term, last, forced } => self.on_vote_request(from, term, last, forced, now),
             Msg::VoteReply { term, granted } => self.vote_reply(from, term, granted, now),
             Msg::TakeLead { term } => self.named_successor(from, term, now),
             Msg::Heartbeat { term, commit, committed, round } => {
--- a/crates/consensus/src/core/replicate.rs
+++ b/crates/consensus/src/core/replicate.rs
@@ -18,7 +18,7 @@
             // It didn't take the lead: this leader goes on.
             lead.successor_named = None;
         }
-        if now >= lead.next_beat {
+        if now >= lead.next_heartbeat {
             self.contact(now);
         }
     }
@@ -32,7 +32,7 @@
     /// A round of contact with every follower.
     pub(super) fn contact(&mut self, now: Duration) {
         let ids = self.followers();
-        let (beat, term, committed) = (self.tuning.beat, self.hard.term, self.commit);
+        let (beat, term, committed) = (self.tuning.heartbeat_interval, self.hard.term, self.commit);
         let Some(lead) = &mut self.lead else { return };
         let round = lead.begin_round(now, beat);
         lead.progress.retain(|id, _| ids.contains(id));
@@ -90,7 +90,7 @@
         let tuning = self.tuning.clone();
         let (term, commit) = (self.hard.term, self.commit);
         let Some(progress) = self.progress(id) else { return };
-        let until = now + tuning.patience(bytes, progress.failures);
+        let until = now + tuning.resend_after(bytes, progress.failures);
         progress.in_flight = Some(InFlight { through, until });
         self.send(id, Msg::Append { term, prev, entries, commit });
     }
@@ -145,7 +145,7 @@
                 data: ByteBuf::from(&t.snapshot.data[t.sent..end]),
             };
             t.sent = end;
-            t.until = now + tuning.patience(end - t.acknowledged, failures);
+            t.until = now + tuning.resend_after(end - t.acknowledged, failures);
             self.send(id, Msg::Chunk { term, chunk });
         }
     }
--- a/crates/consensus/src/core/types.rs
+++ b/crates/consensus/src/core/types.rs
@@ -11,11 +11,11 @@
     pub voted: Option<u64>,
 }
 
-/// Times and sizes. Invariant: several `beat` fit into `election_low`, which is below `election_high`.
+/// Times and sizes. Invariant: several `heartbeat_interval` fit into `election_low`, which is below `election_high`.
 #[derive(Debug, Clone)]
 pub struct Tuning {
     /// Between two rounds of contact.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// A cell that heard a leader within this time helps nobody else to be elected.
     pub election_low: Duration,
     /// The longest wait for a leader; also how long a leader goes on without a majority.
@@ -37,9 +37,9 @@
     /// The slowest link for which that is derived, in bytes a second.
     pub slowest_link: usize,
     /// Entries kept below the snapshot for followers that were away for a short time.
-    pub kept_entries: usize,
+    pub retained_entries: usize,
     /// Their bytes.
-    pub kept_bytes: usize,
+    pub retained_bytes: usize,
     /// A learner this many entries behind, or fewer, has caught up.
     pub caught_up_lag: u64,
 }
@@ -47,7 +47,7 @@
 impl Default for Tuning {
     fn default() -> Self {
         Tuning {
-            beat: Duration::from_millis(110),
+            heartbeat_interval: Duration::from_millis(110),
             election_low: Duration::from_millis(400),
             election_high: Duration::from_millis(700),
             first_low: Duration::from_millis(120),
@@ -57,8 +57,8 @@
             chunk_window: 2,
             resend: Duration::from_millis(600),
             slowest_link: 1 << 20,
-            kept_entries: 512,
-            kept_bytes: 8 << 20,
+            retained_entries: 512,
+            retained_bytes: 8 << 20,
             caught_up_lag: 8,
         }
     }
@@ -72,7 +72,7 @@
     }
 
     /// How long a message of this size counts as under way, after `failures` times in a row.
-    pub fn patience(&self, bytes: usize, failures: u32) -> Duration {
+    pub fn resend_after(&self, bytes: usize, failures: u32) -> Duration {
         const MOST_DOUBLINGS: u32 = 3;
         let transfer = Duration::from_secs_f64(bytes as f64 / self.slowest_link as f64);
         self.resend * (1 << failures.min(MOST_DOUBLINGS)) + transfer
--- a/crates/consensus/src/prelude.rs
+++ b/crates/consensus/src/prelude.rs
@@ -2,7 +2,7 @@
 pub use crate::core::{
     ConsensusNode, Effect, Event, FollowerStatus, HardState, RoleState, TermLog, Tuning,
 };
-pub use crate::store::{AgreementDisk, SnapshotWrite};
+pub use crate::store::{ConsensusDisk, SnapshotWrite};
 pub use internal_protocol::cells::{
     Body, Entry, LogPosition, Member, Membership, Msg, Snapshot, SnapshotChunk,
 };
--- a/crates/consensus/src/store/mod.rs
+++ b/crates/consensus/src/store/mod.rs
@@ -21,17 +21,17 @@
 /// begins with all that the log held then; segments before it don't count and may be removed. A
 /// snapshot is put in place after its segment is synced, and segments are removed after the snapshot
 /// is.
-pub struct AgreementDisk {
+pub struct ConsensusDisk {
     disk: Arc<dyn DiskOps>,
     dir: PathBuf,
     log: SegmentLog,
     order: WriteOrder,
 }
 
-impl AgreementDisk {
+impl ConsensusDisk {
     /// Reads what was saved. The disk was never used when the returned log and vote are empty.
     pub fn open(dir: &Path) -> NodeResult<(Self, HardState, TermLog)> {
-        AgreementDisk::open_on(RealDisk::handle(), dir)
+        ConsensusDisk::open_on(RealDisk::handle(), dir)
     }
 
     /// The same on a given disk.
@@ -48,7 +48,7 @@
         let (hard, term_log) = replay.finish(&folder, log.has_beginning())?;
         log.drop_below(begins_at)?;
         let order = WriteOrder::default();
-        Ok((AgreementDisk { disk, dir: dir.to_path_buf(), log, order }, hard, term_log))
+        Ok((ConsensusDisk { disk, dir: dir.to_path_buf(), log, order }, hard, term_log))
     }
 
     /// Appends a term and vote; they last after the next sync.
@@ -97,7 +97,7 @@
     }
 
     /// Whether the log has grown enough to be made into a snapshot.
-    pub fn wants_snapshot(&self) -> bool {
+    pub fn needs_snapshot(&self) -> bool {
         self.log.segment_len() > SEGMENT
     }
 }
--- a/crates/consensus/tests/disk.rs
+++ b/crates/consensus/tests/disk.rs
@@ -95,7 +95,7 @@
 
 /// Invariant: the last of `possible` is the newest state; the first is the last one acknowledged.
 struct Player {
-    disk: AgreementDisk,
+    disk: ConsensusDisk,
     possible: Vec<State>,
     write: Option<SnapshotWrite>,
 }
@@ -181,8 +181,8 @@
     }
 }
 
-fn open(disk: &SimulatedDisk) -> NodeResult<(AgreementDisk, HardState, TermLog)> {
-    AgreementDisk::open_on(disk.handle(), Path::new(DIR))
+fn open(disk: &SimulatedDisk) -> NodeResult<(ConsensusDisk, HardState, TermLog)> {
+    ConsensusDisk::open_on(disk.handle(), Path::new(DIR))
 }
 
 /// Opens after a loss of power, which comes again while the disk is opened; what is found is one of
--- a/crates/consensus/tests/model/mod.rs
+++ b/crates/consensus/tests/model/mod.rs
@@ -91,7 +91,7 @@
 }
 
 pub fn small_tuning() -> Tuning {
-    Tuning { chunk: 48, kept_entries: 4, ..Tuning::default() }
+    Tuning { chunk: 48, retained_entries: 4, ..Tuning::default() }
 }
 
 impl World {
--- a/crates/consensus/tests/snapshots.rs
+++ b/crates/consensus/tests/snapshots.rs
@@ -252,8 +252,8 @@
 /// What is kept below a snapshot is bounded in number and in bytes.
 #[test]
 fn what_is_kept_is_bounded() {
-    let kept_bytes = 3000;
-    let tuning = Tuning { kept_entries: 10, kept_bytes, ..small_tuning() };
+    let retained_bytes = 3000;
+    let tuning = Tuning { retained_entries: 10, retained_bytes, ..small_tuning() };
     let mut w = World::with(&[1], tuning);
     w.settle();
     for _ in 0..40 {
@@ -269,13 +269,13 @@
     }
     let log = &w.node(1).log;
     let kept = (1..=log.snap.index).filter_map(|i| log.get(i)).map(|e| e.body.size());
-    assert!(kept.sum::<usize>() <= kept_bytes);
+    assert!(kept.sum::<usize>() <= retained_bytes);
 }
 
 /// Away for 300 changes, with snapshots made meanwhile.
 #[test]
 fn a_member_that_was_away_for_300_changes_follows_again() {
-    let tuning = Tuning { kept_entries: 32, chunk: 48, ..Tuning::default() };
+    let tuning = Tuning { retained_entries: 32, chunk: 48, ..Tuning::default() };
     let mut w = World::with(&[1, 2, 3], tuning);
     w.settle();
     let leader = w.leader().unwrap();
--- a/crates/control-cell/src/actor/calls.rs
+++ b/crates/control-cell/src/actor/calls.rs
@@ -42,7 +42,7 @@
             }
             CellCall::Leave { id } => {
                 self.members.leaves(id);
-                waiting.answer(match self.driver.leads() && self.votes_no_more(id) {
+                waiting.answer(match self.driver.leads() && self.has_lost_its_vote(id) {
                     true => CellReply::Done,
                     false => CellReply::Unable,
                 });
--- a/crates/control-cell/src/actor/carry.rs
+++ b/crates/control-cell/src/actor/carry.rs
@@ -35,7 +35,7 @@
         for effect in effects {
             self.carry_out(effect)?;
         }
-        if self.driver.wants_snapshot(self.desk.applied()) {
+        if self.driver.needs_snapshot(self.desk.applied()) {
             let data = encode_bytes(self.desk.state());
             self.due.push_back(Event::Compact { index: self.desk.applied(), data });
         }
--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -12,7 +12,7 @@
     pub node: ConsensusNode,
     /// Voters and learners of the newest membership in the log.
     members: Vec<Member>,
-    disk: AgreementDisk,
+    disk: ConsensusDisk,
     began: Instant,
     /// A snapshot of the own log that is to be written, by whoever takes it.
     due_write: Option<SnapshotWrite>,
@@ -72,7 +72,7 @@
             });
         };
         let own = settings.own_addr(CELL_PORT);
-        let (mut disk, hard, mut log) = AgreementDisk::open(&dir.join("agreement"))?;
+        let (mut disk, hard, mut log) = ConsensusDisk::open(&dir.join("agreement"))?;
         // The identity lasts as long as the disk: a cell that finds none is a new member.
         let founders: Vec<String> = settings
             .seeds
@@ -175,11 +175,11 @@
         self.disk.finish_snapshot(write)
     }
 
-    pub fn wants_snapshot(&self, applied: u64) -> bool {
+    pub fn needs_snapshot(&self, applied: u64) -> bool {
         if self.writing {
             return false;
         }
-        applied - self.node.log.snap.index >= SNAPSHOT_EVERY || self.disk.wants_snapshot()
+        applied - self.node.log.snap.index >= SNAPSHOT_EVERY || self.disk.needs_snapshot()
     }
 
     pub fn elapsed(&self) -> Duration {
@@ -226,7 +226,7 @@
     }
 
     /// Whether the membership has this cell as it is.
-    pub fn knows_me(&self) -> bool {
+    pub fn membership_lists_me(&self) -> bool {
         let me = &self.me;
         let entry = self.members.iter().find(|m| m.id == me.id);
         entry.is_some_and(|m| Member { incarnation: me.incarnation, ..m.clone() } == *me)
--- a/crates/control-cell/src/actor/duties.rs
+++ b/crates/control-cell/src/actor/duties.rs
@@ -37,7 +37,7 @@
             return;
         }
         let in_contact = self.driver.contact_within(bounds.replace_after);
-        let known = self.driver.knows_me();
+        let known = self.driver.membership_lists_me();
         if in_contact && known || self.ending.is_some() {
             return;
         }
--- a/crates/control-cell/src/actor/leaving.rs
+++ b/crates/control-cell/src/actor/leaving.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether it is agreed on that this cell has no vote.
-    pub(super) fn votes_no_more(&self, id: u64) -> bool {
+    pub(super) fn has_lost_its_vote(&self, id: u64) -> bool {
         let node = &self.driver.node;
         node.membership_agreed() && !node.log.membership().is_voter(id)
     }
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -8,7 +8,7 @@
 pub use crate::orders::{ChangedPart, DeskEvent, OrderDesk, UnreadableState};
 pub use crate::state::{order_digest, CellState, ConfirmedOrders};
 pub use consensus::prelude::{
-    AgreementDisk, ConsensusNode, Effect, Event, HardState, SnapshotWrite, Tuning,
+    ConsensusDisk, ConsensusNode, Effect, Event, HardState, SnapshotWrite, Tuning,
 };
 pub use external_api::prelude::*;
 pub use internal_protocol::cells::{
--- a/crates/control-cell/tests/membership_bounds.rs
+++ b/crates/control-cell/tests/membership_bounds.rs
@@ -20,7 +20,7 @@
     let tuning = Tuning::default();
     let election = tuning.election_high * 2;
     let silent_before = tuning.election_low;
-    RecoverySteps { election, silent_before, beat: tuning.beat, duty: DUTY_EVERY }
+    RecoverySteps { election, silent_before, beat: tuning.heartbeat_interval, duty: DUTY_EVERY }
 }
 
 /// Elections take their time: the margin is kept from a `catchUpS` of 3.8 s on.
