--- a/crates/control-cell/src/actor/calls.rs
+++ b/crates/control-cell/src/actor/calls.rs
@@ -12,7 +12,7 @@
         match call {
             CellCall::Propose { change } if leads => {
                 // One that comes again or lost its race is not written once more.
-                return match self.desk.state().decided(&change) {
+                return match self.orders.state().decided(&change) {
                     None => self.change(&change, Some(Order::Plain(waiting))),
                     Some(_) => self.confirm_for(Reader::Order { change, waiting }),
                 };
@@ -49,7 +49,7 @@
             }
             CellCall::Status => waiting.answer(CellReply::Status(Box::new(self.status()))),
             CellCall::Outcomes { reports } => {
-                self.trial.keep(self.desk.state(), reports);
+                self.trial.keep(self.orders.state(), reports);
                 waiting.answer(CellReply::Done);
             }
             CellCall::Agree { .. } | CellCall::Table { .. } => waiting.answer(CellReply::Done),
--- a/crates/control-cell/src/actor/carry.rs
+++ b/crates/control-cell/src/actor/carry.rs
@@ -4,7 +4,7 @@
 use super::trial::TrialStep;
 use crate::prelude::*;
 
-type Settled = DeskEvent<Order, Reader>;
+type Settled = OrderEvent<Order, Reader>;
 
 impl Actor {
     /// Hands an event to the agreement and carries out what follows. What is asked of the agreement
@@ -35,9 +35,9 @@
         for effect in effects {
             self.carry_out(effect)?;
         }
-        if self.driver.needs_snapshot(self.desk.applied()) {
-            let data = encode_bytes(self.desk.state());
-            self.due.push_back(Event::Compact { index: self.desk.applied(), data });
+        if self.driver.needs_snapshot(self.orders.applied()) {
+            let data = encode_bytes(self.orders.state());
+            self.due.push_back(Event::Compact { index: self.orders.applied(), data });
         }
         Ok(())
     }
@@ -50,7 +50,7 @@
                 self.role_changed();
             }
             other => {
-                let events = self.desk.take(other).map_err(|e| unreadable(&e))?;
+                let events = self.orders.take(other).map_err(|e| unreadable(&e))?;
                 events.into_iter().for_each(|e| self.settle(e));
             }
         }
@@ -85,7 +85,7 @@
             self.next_duty = Instant::now();
             return;
         }
-        let events = self.desk.stepped_down();
+        let events = self.orders.stepped_down();
         events.into_iter().for_each(|e| self.settle(e));
     }
 
@@ -106,7 +106,7 @@
     }
 
     pub fn propose(&mut self, body: Body, order: Option<Order>) -> bool {
-        let token = self.desk.order(order);
+        let token = self.orders.order(order);
         self.agree_on(Event::Propose { token, body })
     }
 
@@ -120,22 +120,22 @@
 
     pub(super) fn settle(&mut self, event: Settled) {
         match event {
-            DeskEvent::Order { waiting, outcome } => waiting.answer(outcome),
-            DeskEvent::Read { reader, index: Some(index) } => self.serve_reader(reader, index),
-            DeskEvent::Read { reader, index: None } => reader.refuse(),
-            DeskEvent::Changed(ChangedPart::Config) => self.publish_config(),
-            DeskEvent::Changed(ChangedPart::Stores) => self.publish_stores(),
-            DeskEvent::Changed(ChangedPart::Trial) => self.publish_trial(),
-            DeskEvent::Changed(ChangedPart::Holders) => self.hold_zones(),
-            DeskEvent::Members(index) => self.publish_cells(index),
-            DeskEvent::Restored => self.publish_state(),
+            OrderEvent::Order { waiting, outcome } => waiting.answer(outcome),
+            OrderEvent::Read { reader, index: Some(index) } => self.serve_reader(reader, index),
+            OrderEvent::Read { reader, index: None } => reader.refuse(),
+            OrderEvent::Changed(ChangedPart::Config) => self.publish_config(),
+            OrderEvent::Changed(ChangedPart::Stores) => self.publish_stores(),
+            OrderEvent::Changed(ChangedPart::Trial) => self.publish_trial(),
+            OrderEvent::Changed(ChangedPart::Holders) => self.hold_zones(),
+            OrderEvent::Members(index) => self.publish_cells(index),
+            OrderEvent::Restored => self.publish_state(),
         }
     }
 
     /// Asks a majority whether this cell's view is current.
     pub fn confirm_for(&mut self, reader: Reader) -> bool {
         if self.driver.leads() {
-            let token = self.desk.read(reader);
+            let token = self.orders.read(reader);
             return self.agree_on(Event::Confirm { token });
         }
         let Some(addr) = self.leader_addr() else {
@@ -143,7 +143,7 @@
             return true;
         };
         let within = reader.remaining();
-        let token = self.desk.read(reader);
+        let token = self.orders.read(reader);
         let c = self.links.caller(&addr);
         let q = self.queue.clone();
         tokio::spawn(async move {
@@ -161,7 +161,7 @@
     fn serve_reader(&mut self, reader: Reader, index: u64) {
         match reader {
             Reader::Config(w) => {
-                let config = self.desk.state().config.as_ref();
+                let config = self.orders.state().config.as_ref();
                 let body = config.map(|c| Bytes::from(c.body.to_vec()));
                 w.answer(Some(body));
             }
@@ -170,7 +170,7 @@
                 w.answer(Some(opened));
             }
             Reader::Index(w) => w.answer(CellReply::Index(index)),
-            Reader::Order { change, waiting } => match self.desk.state().decided(&change) {
+            Reader::Order { change, waiting } => match self.orders.state().decided(&change) {
                 Some(outcome) => waiting.answer(CellReply::Outcome(outcome)),
                 None => drop(self.change(&change, Some(Order::Plain(waiting)))),
             },
@@ -182,7 +182,7 @@
     }
 
     fn retire(&mut self, store: &str, query_only: bool, waiting: Waiting<CellReply>) {
-        match retire_step(&self.desk.state().stores, store, query_only) {
+        match retire_step(&self.orders.state().stores, store, query_only) {
             RetireStep::Answer(state) => waiting.answer(CellReply::Retire(state)),
             RetireStep::Propose(change) => {
                 self.change(&change, Some(Order::Retire(waiting)));
@@ -191,7 +191,7 @@
     }
 
     fn asked_of_trial(&mut self, ask: TrialRequest, waiting: Waiting<CellReply>) {
-        match self.trial.step(self.desk.state(), ask) {
+        match self.trial.step(self.orders.state(), ask) {
             TrialStep::Answer(answer) => waiting.answer(answer),
             TrialStep::Propose(change) => {
                 self.change(&change, Some(Order::Plain(waiting)));
--- a/crates/control-cell/src/actor/driver.rs
+++ b/crates/control-cell/src/actor/driver.rs
@@ -29,13 +29,13 @@
     pub driver: ConsensusDriver,
     pub state: CellState,
     /// Starts on this disk, this one included.
-    pub lives: u64,
+    pub starts: u64,
 }
 
 /// Who a cell is, as long as its disk lasts, and how often it was started.
 struct Identity {
     id: u64,
-    lives: u64,
+    starts: u64,
 }
 
 fn id_of_founder(addr: &str) -> u64 {
@@ -59,7 +59,7 @@
 
 fn read_identity(dir: &Path) -> NodeResult<Option<Identity>> {
     let read = load_value::<(u64, u64)>(dir, IDENTITY)?;
-    Ok(read.map(|(id, lives)| Identity { id, lives: lives + 1 }))
+    Ok(read.map(|(id, starts)| Identity { id, starts: starts + 1 }))
 }
 
 impl ConsensusDriver {
@@ -86,12 +86,12 @@
                 voters.dedup();
                 log.snap.membership = Membership::of_voters(voters);
                 disk.save_snapshot(hard, &log)?;
-                Identity { id: id_of_founder(&own), lives: 1 }
+                Identity { id: id_of_founder(&own), starts: 1 }
             }
-            None => Identity { id: fastrand::u64(1..1 << 62), lives: 1 },
+            None => Identity { id: fastrand::u64(1..1 << 62), starts: 1 },
         };
-        let Identity { id, lives } = identity;
-        save_snapshot(&dir, IDENTITY, &encode(&(id, lives)))?;
+        let Identity { id, starts } = identity;
+        save_snapshot(&dir, IDENTITY, &encode(&(id, starts)))?;
         let me = Member {
             id,
             name: settings.node_name.clone(),
@@ -116,7 +116,7 @@
             contact: None,
             current: None,
         };
-        Ok(OpenedCell { driver, state, lives })
+        Ok(OpenedCell { driver, state, starts })
     }
 
     /// Handles an event and saves what must be saved; the effects left are to be carried out in order.
--- a/crates/control-cell/src/actor/duties.rs
+++ b/crates/control-cell/src/actor/duties.rs
@@ -7,9 +7,9 @@
 impl Actor {
     pub fn duties(&mut self, now: Instant) -> bool {
         self.feed.heartbeat(now, self.driver.vouches());
-        self.desk.retain_readers(|r| !r.is_gone());
-        for t in self.zones.due(now, self.desk.state(), self.driver.me.id) {
-            self.tell_table(&t);
+        self.orders.retain_readers(|r| !r.is_gone());
+        for t in self.zones.due(now, self.orders.state(), self.driver.me.id) {
+            self.send_table(&t);
         }
         if self.ending.is_some() {
             self.members.leaves(self.driver.me.id);
@@ -17,7 +17,7 @@
         if !self.driver.leads() {
             self.announce_leaving();
             self.ask_to_join(now);
-            self.tell_leader_all(now);
+            self.forward_outcomes(now);
             return true;
         }
         let all_agreed = self.driver.node.commit == self.driver.node.log.last();
@@ -63,7 +63,7 @@
     }
 
     fn lead_duties(&mut self, now: Instant) -> bool {
-        if let Some(end) = self.trial.judge(self.desk.state()) {
+        if let Some(end) = self.trial.judge(self.orders.state()) {
             return self.change(&end, None);
         }
         let bounds = self.membership_bounds();
@@ -76,10 +76,10 @@
         let calm = self.members.led_for(now);
         let tolerated = self.settings.now().tolerated.stores();
         let bounds = RecoveryBounds::from_catch_up(self.settings.now().bounds.catch_up);
-        let current = &self.desk.state().stores;
+        let current = &self.orders.state().stores;
         if let Some(set) = self.stores.next(current, now, calm, tolerated, &bounds) {
             info!("store set {} with {} stores", set.version, set.stores.len());
-            let change = Change::PutStores { base: self.desk.state().stores.version, set };
+            let change = Change::PutStores { base: self.orders.state().stores.version, set };
             return self.change(&change, None);
         }
         true
@@ -101,7 +101,7 @@
             !self.members.is_leaving(id)
                 && self.members.silent(id, &self.driver, now) < holder_silent
         };
-        next_holders(&self.desk.state().holders, &zones, self.driver.members(), alive)
+        next_holders(&self.orders.state().holders, &zones, self.driver.members(), alive)
     }
 
     /// A store's status report goes to the leader.
@@ -115,7 +115,7 @@
 
     /// Reports of nodes that follow this cell: they go to the leader, or from it to another cell.
     pub fn took_outcomes(&mut self, reports: Vec<NodeReport>) {
-        let reports = self.trial.keep(self.desk.state(), reports);
+        let reports = self.trial.keep(self.orders.state(), reports);
         if reports.is_empty() {
             return;
         }
@@ -134,8 +134,8 @@
         others.max_by_key(|m| self.driver.node.last_contact_with(m.id)).map(|m| m.addr.clone())
     }
 
-    fn tell_leader_all(&mut self, now: Instant) {
-        let (Some(_), Some(id)) = (running_trial(self.desk.state()), self.driver.node.leader)
+    fn forward_outcomes(&mut self, now: Instant) {
+        let (Some(_), Some(id)) = (running_trial(self.orders.state()), self.driver.node.leader)
         else {
             return;
         };
--- a/crates/control-cell/src/actor/handle.rs
+++ b/crates/control-cell/src/actor/handle.rs
@@ -34,7 +34,7 @@
     /// A call that is answered.
     Call(CellCall, Waiting<CellReply>),
     /// One that isn't.
-    Tell(CellCall),
+    OneWay(CellCall),
     /// Outcomes from nodes that follow this cell.
     Outcomes(Vec<NodeReport>),
     /// A zone's list was read.
@@ -100,7 +100,7 @@
     pub async fn answer(&self, q: CellCall) -> Option<CellReply> {
         match q {
             CellCall::Agree { .. } | CellCall::Table { .. } | CellCall::Outcomes { .. } => {
-                let _ = self.queue.send(CellCommand::Tell(q)).await;
+                let _ = self.queue.send(CellCommand::OneWay(q)).await;
                 None
             }
             CellCall::Within { ms, call } => {
@@ -123,7 +123,7 @@
 
     /// A store's status report.
     pub fn announce(&self, status: StoreStatus) {
-        let _ = self.queue.try_send(CellCommand::Tell(CellCall::Announce { status }));
+        let _ = self.queue.try_send(CellCommand::OneWay(CellCall::Announce { status }));
     }
 
     /// What nodes that follow this cell counted.
--- a/crates/control-cell/src/actor/membership.rs
+++ b/crates/control-cell/src/actor/membership.rs
@@ -4,9 +4,9 @@
 
 /// A cell that leaves says so with each of its duties; one that hasn't for so long has ended, and may be
 /// back already.
-const LEAVING_KEPT: Duration = DUTY_EVERY.saturating_mul(3);
+const LEAVING_TTL: Duration = DUTY_EVERY.saturating_mul(3);
 
-pub(super) struct MembershipDuty {
+pub(super) struct MembershipManager {
     joiners: HashMap<u64, Request>,
     /// Since when this leader has known those who asked to come in.
     known_since: HashMap<u64, Instant>,
@@ -24,9 +24,9 @@
     at: Instant,
 }
 
-impl MembershipDuty {
+impl MembershipManager {
     pub fn new(now: Instant) -> Self {
-        MembershipDuty {
+        MembershipManager {
             joiners: HashMap::new(),
             known_since: HashMap::new(),
             leaving: HashMap::new(),
@@ -78,7 +78,7 @@
         let joiners = &self.joiners;
         let is_member = |id: &u64| members.iter().any(|m| m.id == *id);
         self.known_since.retain(|id, _| joiners.contains_key(id) || is_member(id));
-        self.leaving.retain(|_, at| now < *at + LEAVING_KEPT);
+        self.leaving.retain(|_, at| now < *at + LEAVING_TTL);
     }
 
     /// Whether this cell is due to ask to be taken in.
--- a/crates/control-cell/src/actor/mod.rs
+++ b/crates/control-cell/src/actor/mod.rs
@@ -22,10 +22,21 @@
 use crate::prelude::*;
 use run::Actor;
 
+/// Commands that wait for the actor; callers wait beyond that.
+const QUEUE: usize = 2048;
+
+/// A cell whose actor has started.
+pub struct RunningCell {
+    /// The way to the actor.
+    pub handle: CellHandle,
+    /// The actor's task. It ends only when its disk, or what was agreed on, can't be relied on any more.
+    pub actor: tokio::task::JoinHandle<NodeError>,
+}
+
 /// Opens the disk and starts the actor.
-pub fn start(settings: impl Into<SharedSettings>) -> NodeResult<CellHandle> {
-    let (tx, rx) = mpsc::channel(2048);
-    let actor = Actor::open(settings.into(), tx.clone())?;
-    tokio::spawn(actor.run(rx));
-    Ok(CellHandle { queue: tx })
+pub fn start(settings: impl Into<SharedSettings>) -> NodeResult<RunningCell> {
+    let (queue, commands) = mpsc::channel(QUEUE);
+    let actor = Actor::open(settings.into(), queue.clone())?;
+    let actor = tokio::spawn(actor.run(commands));
+    Ok(RunningCell { handle: CellHandle { queue }, actor })
 }
--- a/crates/control-cell/src/actor/publish.rs
+++ b/crates/control-cell/src/actor/publish.rs
@@ -13,13 +13,13 @@
     }
 
     pub fn publish_config(&mut self) {
-        if let Some(c) = &self.desk.state().config {
+        if let Some(c) = &self.orders.state().config {
             self.feed.publish_config(c);
         }
     }
 
     pub fn publish_stores(&mut self) {
-        if let Some(item) = stores_item(self.desk.state()) {
+        if let Some(item) = stores_item(self.orders.state()) {
             self.feed.publish(item);
         }
     }
@@ -29,19 +29,19 @@
     }
 
     pub fn publish_trial(&mut self) {
-        if let Some(item) = trial_item(self.desk.state()) {
-            self.trial.follow(self.desk.state());
+        if let Some(item) = trial_item(self.orders.state()) {
+            self.trial.follow(self.orders.state());
             self.feed.publish(item);
         }
     }
 
     pub fn hold_zones(&mut self) {
-        self.zones.hold(self.desk.state(), self.driver.me.id);
+        self.zones.hold(self.orders.state(), self.driver.me.id);
     }
 
     pub fn open_feed(&mut self, from: FollowFrom) -> OpenedFeed {
-        let Actor { desk, driver, zones, .. } = self;
-        let state = desk.state();
+        let Actor { orders, driver, zones, .. } = self;
+        let state = orders.state();
         self.feed.open(from, || {
             let mut items: Vec<FeedItem> = Vec::new();
             items.extend(config_item(state));
@@ -56,7 +56,7 @@
     pub fn listed(&mut self, zone: String, epoch: u64, engines: Vec<EngineEntry>) {
         if let Some(table) = self.zones.listed(zone, epoch, engines) {
             self.take_table(table.clone());
-            self.tell_table(&table);
+            self.send_table(&table);
         }
     }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    pub fn tell_table(&mut self, table: &ZoneTable) {
+    pub fn send_table(&mut self, table: &ZoneTable) {
         for m in self.driver.members() {
             if m.addr != self.driver.me.addr {
                 self.links.caller(&m.addr).tell(&CellCall::Table { table: table.clone() });
--- a/crates/control-cell/src/actor/run.rs
+++ b/crates/control-cell/src/actor/run.rs
@@ -1,11 +1,11 @@
 //! The actor: composes a cell's parts and works through its queue of commands.
 use super::driver::{ConsensusDriver, OpenedCell};
 use super::links::CellLinks;
-use super::membership::MembershipDuty;
-use super::stores::StoreDuty;
-use super::trial::TrialDesk;
-use super::zones::ZoneDesk;
-use crate::listing::{read_lists, Held};
+use super::membership::MembershipManager;
+use super::stores::StoreReports;
+use super::trial::TrialReports;
+use super::zones::ZoneTables;
+use crate::listing::{read_lists, OwnedZones};
 use crate::prelude::*;
 
 /// Commands worked through before the disk, the clock and the duties have their turn again.
@@ -121,42 +121,44 @@
     pub due: VecDeque<Event>,
     /// An effect of the agreement is being carried out.
     pub carrying: bool,
-    pub desk: OrderDesk<Order, Reader>,
+    pub orders: OrderTracker<Order, Reader>,
     pub links: CellLinks,
-    pub feed: FeedBook,
-    pub zones: ZoneDesk,
-    pub members: MembershipDuty,
-    pub stores: StoreDuty,
-    pub trial: TrialDesk,
+    pub feed: FeedLog,
+    pub zones: ZoneTables,
+    pub members: MembershipManager,
+    pub stores: StoreReports,
+    pub trial: TrialReports,
     pub next_duty: Instant,
     pub ending: Option<Ending>,
 }
 
 impl Actor {
     pub fn open(shared: SharedSettings, queue: mpsc::Sender<CellCommand>) -> NodeResult<Self> {
-        let OpenedCell { driver, state, lives } = ConsensusDriver::open(&shared.now())?;
-        let (held, watch_held) = watch::channel(Held::new());
-        tokio::spawn(read_lists(shared.clone(), watch_held, queue.clone()));
+        let OpenedCell { driver, state, starts } = ConsensusDriver::open(&shared.now())?;
+        let (owned, watch_owned) = watch::channel(OwnedZones::new());
+        tokio::spawn(read_lists(shared.clone(), watch_owned, queue.clone()));
         let now = Instant::now();
         Ok(Actor {
             settings: shared,
             queue,
-            desk: OrderDesk::new(state, driver.node.applied),
+            orders: OrderTracker::new(state, driver.node.applied),
             driver,
             due: VecDeque::new(),
             carrying: false,
             links: CellLinks::default(),
-            feed: FeedBook::default(),
-            zones: ZoneDesk::new(lives, held, now),
-            members: MembershipDuty::new(now),
-            stores: StoreDuty::default(),
-            trial: TrialDesk::default(),
+            feed: FeedLog::default(),
+            zones: ZoneTables::new(starts, owned, now),
+            members: MembershipManager::new(now),
+            stores: StoreReports::default(),
+            trial: TrialReports::default(),
             next_duty: now,
             ending: None,
         })
     }
 
-    pub async fn run(mut self, mut rx: mpsc::Receiver<CellCommand>) {
+    /// Works until the disk can't be written, or what was agreed on can't be read: nothing may be said then.
+    /// What failed is logged where it did.
+    pub async fn run(mut self, mut rx: mpsc::Receiver<CellCommand>) -> NodeError {
         self.publish_state();
         let mut ok = true;
         while ok {
@@ -164,14 +166,14 @@
             tokio::select! {
                 cmd = rx.recv() => match cmd {
                     Some(c) => ok = self.commands(c, &mut rx),
-                    None => return,
+                    None => return NodeError::Other { reason: "the cell's queue is gone".into() },
                 },
                 _ = tokio::time::sleep_until(wake.into()) => {}
             }
             ok = ok && self.timers(Instant::now());
         }
-        // The disk can't be written, or what was agreed on can't be read: nothing may be said any more.
-        std::process::exit(3);
+        let reason = "the cell can't rely on its disk any more".into();
+        NodeError::DiskFailed { cause: Box::new(NodeError::Other { reason }) }
     }
 
     /// What came together is worked through together.
@@ -203,7 +205,7 @@
 
     fn command(&mut self, cmd: CellCommand) -> bool {
         match cmd {
-            CellCommand::Tell(call) => return self.one_way(call),
+            CellCommand::OneWay(call) => return self.one_way(call),
             CellCommand::Outcomes(reports) => self.took_outcomes(reports),
             CellCommand::Call(call, waiting) => return self.called(call, waiting),
             CellCommand::Listed { zone, epoch, engines } => self.listed(zone, epoch, engines),
@@ -212,7 +214,7 @@
             }
             CellCommand::ReadConfig(waiting) => return self.confirm_for(Reader::Config(waiting)),
             CellCommand::ForwardConfirmed { token, index } => {
-                let events = self.desk.confirmed(token, index);
+                let events = self.orders.confirmed(token, index);
                 events.into_iter().for_each(|e| self.settle(e));
             }
             CellCommand::SnapshotWritten(write) => return self.snapshot_written(write),
@@ -231,7 +233,7 @@
             CellCall::Table { table } => self.take_table(table),
             CellCall::Announce { status } => self.announced(status),
             CellCall::Outcomes { reports } => {
-                self.trial.keep(self.desk.state(), reports);
+                self.trial.keep(self.orders.state(), reports);
             }
             _ => {}
         }
--- a/crates/control-cell/src/actor/status.rs
+++ b/crates/control-cell/src/actor/status.rs
@@ -22,12 +22,12 @@
                 .map_or(0, |d| d.as_millis() as u64),
             commit: node.commit,
             applied: node.applied,
-            config_version: self.desk.state().config_version(),
+            config_version: self.orders.state().config_version(),
             members: members.iter().filter_map(|m| name(&m.id)).collect(),
             voters: node.log.membership().voters.iter().filter_map(|m| name(&m.id)).collect(),
             voters_agreed: !node.log.membership().is_joint() && node.membership_agreed(),
             stores: self
-                .desk
+                .orders
                 .state()
                 .stores
                 .stores
@@ -39,7 +39,7 @@
                 })
                 .collect(),
             zones: self
-                .desk
+                .orders
                 .state()
                 .holders
                 .iter()
--- a/crates/control-cell/src/actor/stores.rs
+++ b/crates/control-cell/src/actor/stores.rs
@@ -3,7 +3,7 @@
 use crate::prelude::*;
 
 #[derive(Default)]
-pub(super) struct StoreDuty {
+pub(super) struct StoreReports {
     reports: HashMap<u64, Report>,
 }
 
@@ -19,7 +19,7 @@
     Propose(Change),
 }
 
-impl StoreDuty {
+impl StoreReports {
     pub fn announced(&mut self, status: StoreStatus) {
         let last = Instant::now();
         let first = self.reports.get(&status.id).map_or(last, |r| r.first);
--- a/crates/control-cell/src/actor/trial.rs
+++ b/crates/control-cell/src/actor/trial.rs
@@ -12,7 +12,7 @@
 /// lies in memory, at two cells: the one the node follows and the leader, or the leader and another. What
 /// both lost of a node that is gone as well is missing from then on, and nothing counts twice.
 #[derive(Default)]
-pub(super) struct TrialDesk {
+pub(super) struct TrialReports {
     ledger: OutcomeLedger,
     points: Vec<Point>,
     stride: usize,
@@ -28,9 +28,10 @@
     next: Instant,
 }
 
-impl TrialDesk {
+impl TrialReports {
     fn begin(&mut self, key: u64) {
-        *self = TrialDesk { ledger: OutcomeLedger::new(key), stride: 1, ..TrialDesk::default() };
+        *self =
+            TrialReports { ledger: OutcomeLedger::new(key), stride: 1, ..TrialReports::default() };
     }
 
     fn note(&mut self, p: Point) {
@@ -54,7 +55,7 @@
         match running_trial(state) {
             Some(key) if key == self.ledger.key() => {}
             Some(key) => self.begin(key),
-            None => *self = TrialDesk::default(),
+            None => *self = TrialReports::default(),
         }
     }
 
--- a/crates/control-cell/src/actor/zones.rs
+++ b/crates/control-cell/src/actor/zones.rs
@@ -1,22 +1,22 @@
 //! The engine tables of the zones, and which lists this cell reads.
-use crate::listing::Held;
+use crate::listing::OwnedZones;
 use crate::prelude::*;
 
 /// How often a holder sends its tables again: messages get lost.
 const SEND_AGAIN: Duration = Duration::from_millis(2500);
 
 /// Invariant: a zone's table only goes on to a higher (epoch, sequence).
-pub(super) struct ZoneDesk {
+pub(super) struct ZoneTables {
     /// Starts on this disk: what this cell numbers never goes back over a restart.
-    lives: u64,
+    starts: u64,
     tables: BTreeMap<String, ZoneTable>,
-    held: watch::Sender<Held>,
+    owned: watch::Sender<OwnedZones>,
     next_table: Instant,
 }
 
-impl ZoneDesk {
-    pub fn new(lives: u64, held: watch::Sender<Held>, now: Instant) -> Self {
-        ZoneDesk { lives, tables: BTreeMap::new(), held, next_table: now }
+impl ZoneTables {
+    pub fn new(starts: u64, owned: watch::Sender<OwnedZones>, now: Instant) -> Self {
+        ZoneTables { starts, tables: BTreeMap::new(), owned, next_table: now }
     }
 
     pub fn tables(&self) -> impl Iterator<Item = &ZoneTable> {
@@ -29,13 +29,13 @@
 
     /// Reads from now on the lists of the zones that this cell holds.
     pub fn hold(&self, state: &CellState, me: u64) {
-        let mine: Held = state
+        let mine: OwnedZones = state
             .holders
             .iter()
             .filter(|(_, id)| **id == me)
             .map(|(a, _)| (a.clone(), state.epochs.get(a).copied().unwrap_or(0)))
             .collect();
-        self.held.send_if_modified(|h| {
+        self.owned.send_if_modified(|h| {
             let other = *h != mine;
             if other {
                 *h = mine;
@@ -46,7 +46,7 @@
 
     /// The table that a list which was read makes; none when it says nothing new.
     pub fn listed(&self, zone: String, epoch: u64, engines: Vec<EngineEntry>) -> Option<ZoneTable> {
-        let first = self.lives << 32;
+        let first = self.starts << 32;
         let seq = match self.tables.get(&zone) {
             Some(t) if t.epoch > epoch => return None,
             Some(t) if t.epoch == epoch && t.seq >= first => {
@@ -73,7 +73,7 @@
         newer
     }
 
-    /// The tables of the zones held here that are due to be sent again.
+    /// The tables of the zones owned here that are due to be sent again.
     pub fn due(&mut self, now: Instant, state: &CellState, me: u64) -> Vec<ZoneTable> {
         if now < self.next_table {
             return Vec::new();
--- a/crates/control-cell/src/duties/members.rs
+++ b/crates/control-cell/src/duties/members.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// Two lives of one machine.
+/// Two starts of one machine.
 fn same_machine(a: &Member, b: &Member) -> bool {
     a.id != b.id && (a.addr == b.addr || (!a.name.is_empty() && a.name == b.name))
 }
--- a/crates/control-cell/src/duties/stores.rs
+++ b/crates/control-cell/src/duties/stores.rs
@@ -238,7 +238,7 @@
     fn without_a_dead_store(&self) -> Option<StoreSet> {
         let spare = self.can_spare_one();
         let may_go = |e: &&StoreEntry| spare || e.state == StoreState::Leaving;
-        let dead = |e: &&StoreEntry| self.silent(e.id) > self.patience(e.id);
+        let dead = |e: &&StoreEntry| self.silent(e.id) > self.removal_timeout(e.id);
         let dead = self.set.stores.iter().filter(may_go).find(dead)?.id;
         Some(self.step(|n| n.stores.retain(|e| e.id != dead)))
     }
@@ -246,7 +246,7 @@
     /// How much silence of a store is waited out. Where more are silent than may be lost, what they hold
     /// isn't all with others: rather they are waited for, as after a loss of power. Those that stopped by
     /// plan, one after the other perhaps, don't count.
-    fn patience(&self, id: u64) -> Duration {
+    fn removal_timeout(&self, id: u64) -> Duration {
         let ended = |id| self.observation(id).is_some_and(|s| s.status.ending);
         let placed = self.set.stores.iter().filter(|e| e.state == StoreState::Placed);
         let silent = placed.filter(|e| !self.is_at_work(e.id) && !ended(e.id)).count();
--- a/crates/control-cell/src/feed/mod.rs
+++ b/crates/control-cell/src/feed/mod.rs
@@ -8,15 +8,15 @@
 /// How often followers get a heartbeat: this cell still has a majority.
 const HEARTBEAT: Duration = Duration::from_millis(400);
 /// Items kept for followers that come back.
-pub const KEPT: usize = 64;
+pub const RETAINED_ITEMS: usize = 64;
 /// Bytes of configurations among them: a few of the largest.
-pub const KEPT_BYTES: usize = 10 << 20;
+pub const RETAINED_BYTES: usize = 10 << 20;
 
 /// The feed of one cell since it started.
 ///
 /// Invariants: `no` is the newest number given; `recent` holds the newest items without a gap; a
 /// follower that doesn't keep up is left out rather than waited for.
-pub struct FeedBook {
+pub struct FeedLog {
     id: u64,
     no: u64,
     recent: VecDeque<Numbered>,
@@ -27,13 +27,13 @@
 }
 
 struct Follower {
-    wants: Wants,
+    request: FeedRequest,
     frames: mpsc::Sender<Bytes>,
 }
 
 /// What a follower takes.
 #[derive(Debug, Clone, Copy)]
-pub struct Wants {
+pub struct FeedRequest {
     /// The items it asks for.
     pub topics: Topics,
     /// It reads configurations as differences.
@@ -48,7 +48,7 @@
     /// The newest number it has of it.
     pub no: u64,
     /// What it takes.
-    pub wants: Wants,
+    pub request: FeedRequest,
 }
 
 /// A follower's feed, opened.
@@ -59,9 +59,9 @@
     pub feed: u64,
 }
 
-impl Default for FeedBook {
+impl Default for FeedLog {
     fn default() -> Self {
-        FeedBook {
+        FeedLog {
             id: fastrand::u64(1..),
             no: 0,
             recent: VecDeque::new(),
@@ -72,7 +72,7 @@
     }
 }
 
-impl FeedBook {
+impl FeedLog {
     /// How many follow.
     pub fn follower_count(&self) -> usize {
         self.followers.len()
@@ -84,8 +84,8 @@
     }
 
     /// Takes in a follower for what comes from now on.
-    pub fn add_follower(&mut self, wants: Wants, frames: mpsc::Sender<Bytes>) {
-        self.followers.push(Follower { wants, frames });
+    pub fn add_follower(&mut self, request: FeedRequest, frames: mpsc::Sender<Bytes>) {
+        self.followers.push(Follower { request, frames });
     }
 
     /// Numbers an item and sends it to those who take it.
@@ -95,7 +95,9 @@
         self.send(&n);
         self.recent.push_back(n);
         let mut bytes: usize = self.recent.iter().map(|n| n.item.body_bytes()).sum();
-        while self.recent.len() > KEPT || (bytes > KEPT_BYTES && self.recent.len() > 1) {
+        while self.recent.len() > RETAINED_ITEMS
+            || (bytes > RETAINED_BYTES && self.recent.len() > 1)
+        {
             let gone = self.recent.pop_front();
             bytes -= gone.map_or(0, |n| n.item.body_bytes());
         }
@@ -108,9 +110,9 @@
         }
         let frame = encode(&FeedMsg::Items(vec![n.clone()]));
         let patch = matches!(n.item, FeedItem::ConfigPatch { .. });
-        self.followers.retain(|f| match n.item.is_of(f.wants.topics) {
+        self.followers.retain(|f| match n.item.is_of(f.request.topics) {
             // One that reads no patches is let go, and begins anew from a snapshot.
-            true if patch && !f.wants.patches => false,
+            true if patch && !f.request.patches => false,
             true => f.frames.try_send(frame.clone()).is_ok(),
             false => !f.frames.is_closed(),
         });
@@ -135,19 +137,19 @@
         from: FollowFrom,
         snapshot: impl FnOnce() -> Vec<FeedItem>,
     ) -> OpenedFeed {
-        let FollowFrom { feed, no, wants } = from;
+        let FollowFrom { feed, no, request } = from;
         let (tx, rx) = mpsc::channel(256);
         let oldest = self.recent.front().map_or(self.no + 1, |n| n.no);
         let mut items: Vec<Numbered> = Vec::new();
-        if wants.patches && feed == self.id && no + 1 >= oldest && no <= self.no {
+        if request.patches && feed == self.id && no + 1 >= oldest && no <= self.no {
             items.extend(self.recent.iter().filter(|n| n.no > no).cloned());
         } else {
             items.extend(snapshot().into_iter().map(|item| Numbered { no: self.no, item }));
         }
         items.push(Numbered { no: self.no, item: FeedItem::Current });
-        items.retain(|n| n.item.is_of(wants.topics));
+        items.retain(|n| n.item.is_of(request.topics));
         let _ = tx.try_send(encode(&FeedMsg::Items(items)));
-        self.add_follower(wants, tx);
+        self.add_follower(request, tx);
         OpenedFeed { items: rx, feed: self.id }
     }
 
--- a/crates/control-cell/src/follow/mod.rs
+++ b/crates/control-cell/src/follow/mod.rs
@@ -23,7 +23,7 @@
         return;
     };
     // What follows is only sent once a majority has confirmed that this cell is not cut off.
-    let from = FollowFrom { feed, no, wants: Wants { topics, patches } };
+    let from = FollowFrom { feed, no, request: FeedRequest { topics, patches } };
     let Some(OpenedFeed { mut items, feed: opened }) = cell.follow(from).await else {
         return;
     };
--- a/crates/control-cell/src/lib.rs
+++ b/crates/control-cell/src/lib.rs
@@ -55,7 +55,7 @@
 ) -> NodeResult<()> {
     let shared: SharedSettings = settings.into();
     let CellListeners { peers, feed, control } = listeners;
-    let cell = actor::start(&shared)?;
+    let actor::RunningCell { handle: cell, mut actor } = actor::start(&shared)?;
     let h = cell.clone();
     tokio::spawn(node_runtime::links::serve_calls(peers, move |q: CellCall| {
         let h = h.clone();
@@ -67,9 +67,16 @@
     }
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|e| NodeError::Io { what: "SIGTERM".into(), source: e })?;
-    term.recv().await;
-    // An actor that stands still (its disk is full) doesn't hold up the end.
-    let bounds = MembershipBounds::from_settings(&shared.now().bounds);
-    let _ = tokio::time::timeout(bounds.leave_within * 2, cell.leave()).await;
-    Ok(())
+    let end_in_order = async {
+        term.recv().await;
+        // An actor that stands still (its disk is full) doesn't hold up the end.
+        let bounds = MembershipBounds::from_settings(&shared.now().bounds);
+        let _ = tokio::time::timeout(bounds.leave_within * 2, cell.leave()).await;
+    };
+    tokio::select! {
+        () = end_in_order => Ok(()),
+        failed = &mut actor => Err(failed.unwrap_or_else(|e| NodeError::Other {
+            reason: format!("the cell's actor has ended: {e}"),
+        })),
+    }
 }
--- a/crates/control-cell/src/listing/mod.rs
+++ b/crates/control-cell/src/listing/mod.rs
@@ -1,24 +1,24 @@
 //! Reads the platform's list for the zones this cell holds.
 mod pace;
 
-pub use pace::ListPace;
+pub use pace::ListInterval;
 
 use crate::prelude::*;
 
 /// The zones to read, each with the epoch that made this cell its holder.
-pub type Held = BTreeMap<String, u64>;
+pub type OwnedZones = BTreeMap<String, u64>;
 
 const WITHIN: Duration = Duration::from_millis(800);
 
-/// Reads the lists of the held zones, each round at the address that the settings name then; without
+/// Reads the lists of the owned zones, each round at the address that the settings name then; without
 /// one it waits for settings that do.
 pub async fn read_lists(
     mut shared: SharedSettings,
-    mut held: watch::Receiver<Held>,
+    mut owned: watch::Receiver<OwnedZones>,
     out: mpsc::Sender<CellCommand>,
 ) {
     let mut back = Backoff::new(Duration::from_millis(200), Duration::from_secs(2));
-    let mut pace = ListPace::new(shared.now().bounds.drain);
+    let mut pace = ListInterval::new(shared.now().bounds.drain);
     let began = Instant::now();
     loop {
         let settings = shared.now();
@@ -29,7 +29,7 @@
             }
         };
         pace.set_drain(settings.bounds.drain);
-        let now: Held = held.borrow_and_update().clone();
+        let now: OwnedZones = owned.borrow_and_update().clone();
         let mut failed = Duration::ZERO;
         for (zone, epoch) in now {
             match list_zone(cloud.address, &zone, WITHIN).await {
@@ -49,7 +49,7 @@
         tokio::select! {
             _ = tokio::time::sleep(pause) => {}
             _ = shared.changed() => back.reset(),
-            r = held.changed() => if r.is_err() { return },
+            r = owned.changed() => if r.is_err() { return },
         }
     }
 }
--- a/crates/control-cell/src/listing/pace.rs
+++ b/crates/control-cell/src/listing/pace.rs
@@ -8,7 +8,7 @@
 
 /// Invariant: `calm` leaves, after the longest pause, more than half of the time in which leaving
 /// engines are to be left alone for the change to travel and for one lost reader to be replaced.
-pub struct ListPace {
+pub struct ListInterval {
     calm: Duration,
     /// Of each zone what its last list said, and until when it is read quickly.
     zones: BTreeMap<String, LastList>,
@@ -19,10 +19,10 @@
     quick_until: Duration,
 }
 
-impl ListPace {
+impl ListInterval {
     /// `drain`: the time from the list's showing that an engine leaves to the last send to it.
     pub fn new(drain: Duration) -> Self {
-        ListPace { calm: calm_pause(drain), zones: BTreeMap::new() }
+        ListInterval { calm: calm_pause(drain), zones: BTreeMap::new() }
     }
 
     /// The settings give another time to drain in.
--- a/crates/control-cell/src/orders/mod.rs
+++ b/crates/control-cell/src/orders/mod.rs
@@ -1,6 +1,6 @@
 //! Orders and reads between their callers and the cells' agreement. It is pure: the actor drives it with
 //! a disk and connections, the history test with a simulated network.
-mod desk;
 mod pending;
+mod tracker;
 
-pub use desk::{ChangedPart, DeskEvent, OrderDesk, UnreadableState};
+pub use tracker::{ChangedPart, OrderEvent, OrderTracker, UnreadableState};
--- a/crates/control-cell/src/orders/pending.rs
+++ b/crates/control-cell/src/orders/pending.rs
@@ -6,16 +6,16 @@
 pub(super) struct PendingOrders<R> {
     token: u64,
     proposed: HashMap<u64, R>,
-    placed: HashMap<u64, PlacedOrder<R>>,
+    placed: HashMap<u64, LoggedOrder<R>>,
 }
 
-struct PlacedOrder<R> {
+struct LoggedOrder<R> {
     term: u64,
     reply: R,
 }
 
 /// An order whose place in the log was applied.
-pub(super) struct SettledOrder<R> {
+pub(super) struct DecidedOrder<R> {
     pub reply: R,
     /// The entry that was applied is the order's own.
     pub own: bool,
@@ -43,13 +43,13 @@
         let Some(LogPosition { index, term }) = at else {
             return Some(reply);
         };
-        self.placed.insert(index, PlacedOrder { term, reply });
+        self.placed.insert(index, LoggedOrder { term, reply });
         None
     }
 
-    pub fn applied(&mut self, index: u64, term: u64) -> Option<SettledOrder<R>> {
+    pub fn applied(&mut self, index: u64, term: u64) -> Option<DecidedOrder<R>> {
         let placed = self.placed.remove(&index)?;
-        Some(SettledOrder { own: placed.term == term, reply: placed.reply })
+        Some(DecidedOrder { own: placed.term == term, reply: placed.reply })
     }
 
     /// All that wait, when this cell leads no more: nobody here can tell what becomes of them.
--- a/crates/control-cell/src/orders/desk.rs
+++ b/crates/control-cell/src/orders/tracker.rs
@@ -7,7 +7,7 @@
 /// Invariants: `state` is what the log says up to `applied`. An order is answered with an outcome only by
 /// the entry that is its own: same index, same term, applied. A read is served only once a majority has
 /// confirmed it and its index is applied. Whatever else ends the wait is no clear answer.
-pub struct OrderDesk<W, R> {
+pub struct OrderTracker<W, R> {
     state: CellState,
     applied: u64,
     orders: PendingOrders<W>,
@@ -29,7 +29,7 @@
 
 /// What an effect of the agreement leads to.
 #[derive(Debug, PartialEq, Eq)]
-pub enum DeskEvent<W, R> {
+pub enum OrderEvent<W, R> {
     /// An order's wait ends; without an outcome nobody here can tell what becomes of it.
     Order {
         /// Who waited.
@@ -60,11 +60,11 @@
     pub index: u64,
 }
 
-impl<W, R> OrderDesk<W, R> {
+impl<W, R> OrderTracker<W, R> {
     /// A desk for the state as of a log index.
     pub fn new(state: CellState, applied: u64) -> Self {
         let (orders, reads) = (PendingOrders::default(), PendingReads::default());
-        OrderDesk { state, applied, orders, reads }
+        OrderTracker { state, applied, orders, reads }
     }
 
     /// The agreed state as of `applied`.
@@ -88,7 +88,7 @@
     }
 
     /// Takes an effect of the agreement that was saved already.
-    pub fn take(&mut self, effect: Effect) -> Result<Vec<DeskEvent<W, R>>, UnreadableState> {
+    pub fn take(&mut self, effect: Effect) -> Result<Vec<OrderEvent<W, R>>, UnreadableState> {
         match effect {
             Effect::Apply(entry) => self.apply(entry),
             Effect::Restore(snap) => self.restore(&snap),
@@ -102,12 +102,12 @@
     }
 
     /// This cell leads no more: what becomes of its orders is decided elsewhere.
-    pub fn stepped_down(&mut self) -> Vec<DeskEvent<W, R>> {
+    pub fn stepped_down(&mut self) -> Vec<OrderEvent<W, R>> {
         self.orders.give_up().into_iter().map(unclear).collect()
     }
 
     /// A majority confirmed a read at an index, or couldn't be asked.
-    pub fn confirmed(&mut self, token: u64, index: Option<u64>) -> Vec<DeskEvent<W, R>> {
+    pub fn confirmed(&mut self, token: u64, index: Option<u64>) -> Vec<OrderEvent<W, R>> {
         let Some(reader) = self.reads.take(token) else {
             return Vec::new();
         };
@@ -116,7 +116,7 @@
                 self.reads.wait(ConfirmedRead { index, reader });
                 Vec::new()
             }
-            index => vec![DeskEvent::Read { reader, index }],
+            index => vec![OrderEvent::Read { reader, index }],
         }
     }
 
@@ -125,7 +125,7 @@
         self.reads.retain(wanted);
     }
 
-    fn apply(&mut self, entry: Entry) -> Result<Vec<DeskEvent<W, R>>, UnreadableState> {
+    fn apply(&mut self, entry: Entry) -> Result<Vec<OrderEvent<W, R>>, UnreadableState> {
         let Entry { index, term, body } = entry;
         let mut events = Vec::new();
         let mut outcome = None;
@@ -135,39 +135,39 @@
                 let part = part_of(&change);
                 let came_to = self.state.apply(index, change);
                 if came_to == Outcome::Taken {
-                    events.push(DeskEvent::Changed(part));
+                    events.push(OrderEvent::Changed(part));
                 }
                 outcome = Some(came_to);
             }
-            Body::Membership(_) => events.push(DeskEvent::Members(index)),
+            Body::Membership(_) => events.push(OrderEvent::Members(index)),
             Body::Noop => {}
         }
         self.applied = index;
         if let Some(settled) = self.orders.applied(index, term) {
             let outcome = outcome.filter(|_| settled.own);
-            events.push(DeskEvent::Order { waiting: settled.reply, outcome });
+            events.push(OrderEvent::Order { waiting: settled.reply, outcome });
         }
         events.extend(self.ready());
         Ok(events)
     }
 
-    fn restore(&mut self, snap: &Snapshot) -> Result<Vec<DeskEvent<W, R>>, UnreadableState> {
+    fn restore(&mut self, snap: &Snapshot) -> Result<Vec<OrderEvent<W, R>>, UnreadableState> {
         let index = snap.index;
         self.state = CellState::of_snapshot(snap).ok_or(UnreadableState { index })?;
         self.applied = index;
-        let mut events = vec![DeskEvent::Restored];
+        let mut events = vec![OrderEvent::Restored];
         events.extend(self.ready());
         Ok(events)
     }
 
-    fn ready(&mut self) -> Vec<DeskEvent<W, R>> {
+    fn ready(&mut self) -> Vec<OrderEvent<W, R>> {
         let ready = self.reads.ready(self.applied).into_iter();
-        ready.map(|r| DeskEvent::Read { reader: r.reader, index: Some(r.index) }).collect()
+        ready.map(|r| OrderEvent::Read { reader: r.reader, index: Some(r.index) }).collect()
     }
 }
 
-fn unclear<W, R>(waiting: W) -> DeskEvent<W, R> {
-    DeskEvent::Order { waiting, outcome: None }
+fn unclear<W, R>(waiting: W) -> OrderEvent<W, R> {
+    OrderEvent::Order { waiting, outcome: None }
 }
 
 fn part_of(change: &Change) -> ChangedPart {
--- a/crates/control-cell/src/prelude.rs
+++ b/crates/control-cell/src/prelude.rs
@@ -4,8 +4,10 @@
     next_holders, next_membership, next_stores, CorePolicy, JoinRequest, MemberObservation,
     MembershipBounds, RecoveryBounds, RecoverySteps, StoreObservation,
 };
-pub use crate::feed::{FeedBook, FollowFrom, OpenedFeed, Wants, KEPT, KEPT_BYTES};
-pub use crate::orders::{ChangedPart, DeskEvent, OrderDesk, UnreadableState};
+pub use crate::feed::{
+    FeedLog, FeedRequest, FollowFrom, OpenedFeed, RETAINED_BYTES, RETAINED_ITEMS,
+};
+pub use crate::orders::{ChangedPart, OrderEvent, OrderTracker, UnreadableState};
 pub use crate::state::{order_digest, CellState, ConfirmedOrders};
 pub use consensus::prelude::{
     ConsensusDisk, ConsensusNode, Effect, Event, HardState, SnapshotWrite, Tuning,
--- a/crates/control-cell/tests/common/mod.rs
+++ b/crates/control-cell/tests/common/mod.rs
@@ -70,7 +70,7 @@
             let rt = Builder::new_current_thread().enable_all().build().unwrap();
             rt.block_on(async {
                 let inner = TcpListener::bind(settings.own_addr(CELL_PORT)).await.unwrap();
-                let cell = control_cell::actor::start(&settings).unwrap();
+                let cell = control_cell::actor::start(&settings).unwrap().handle;
                 let h = cell.clone();
                 tokio::spawn(node_runtime::links::serve_calls(inner, move |q: CellCall| {
                     let h = h.clone();
--- a/crates/control-cell/tests/core_schedules.rs
+++ b/crates/control-cell/tests/core_schedules.rs
@@ -74,7 +74,7 @@
     joiners: BTreeMap<u64, (JoinRequest, Duration)>,
     /// Since when the leader has known them.
     known_since: BTreeMap<u64, Duration>,
-    /// Requests of lives that are over, still on their way.
+    /// Requests of starts that are over, still on their way.
     late: Vec<JoinRequest>,
     leader: Option<(u64, Duration)>,
     /// Until then absences overlap beyond what is tolerated: only disks count.
--- a/crates/control-cell/tests/feed.rs
+++ b/crates/control-cell/tests/feed.rs
@@ -23,10 +23,10 @@
 /// A recorded row of items, and what each kind of follower is told of it.
 #[test]
 fn each_follower_is_told_what_it_takes() {
-    let mut book = FeedBook::default();
+    let mut book = FeedLog::default();
     let mut follow = |topics, patches| {
         let (tx, rx) = mpsc::channel(16);
-        book.add_follower(Wants { topics, patches }, tx);
+        book.add_follower(FeedRequest { topics, patches }, tx);
         rx
     };
     let mut agent = follow(Topics::All, true);
@@ -49,12 +49,12 @@
 #[test]
 fn what_is_kept_is_bounded_and_has_no_gap() {
     arbtest::arbtest(|u| {
-        let mut book = FeedBook::default();
+        let mut book = FeedLog::default();
         for n in 1..=u.int_in_range(1..=90u64)? {
             book.publish(config(n, if u.ratio(1, 8)? { 4 << 20 } else { 100 }));
             let bytes: usize = book.recent().map(|n| n.item.body_bytes()).sum();
             let kept = book.recent().count();
-            assert!(kept <= KEPT && (bytes <= KEPT_BYTES || kept == 1));
+            assert!(kept <= RETAINED_ITEMS && (bytes <= RETAINED_BYTES || kept == 1));
             assert!(book.recent().rev().map(|r| r.no).eq((1..=n).rev().take(kept)));
         }
         Ok(())
@@ -66,10 +66,10 @@
 /// A cell that lost its contact with a majority vouches no longer, also when no beat is due.
 #[test]
 fn followers_are_let_go_as_soon_as_contact_is_lost() {
-    let mut book = FeedBook::default();
+    let mut book = FeedLog::default();
     let now = Instant::now();
-    let all = Wants { topics: Topics::All, patches: true };
-    let mut opened = book.open(FollowFrom { feed: 0, no: 0, wants: all }, Vec::new);
+    let all = FeedRequest { topics: Topics::All, patches: true };
+    let mut opened = book.open(FollowFrom { feed: 0, no: 0, request: all }, Vec::new);
     book.heartbeat(now, true);
     assert_eq!(status(&mut opened.items), [FeedItem::Current, FeedItem::Heartbeat]);
     book.heartbeat(now + Duration::from_millis(1), false);
--- a/crates/control-cell/tests/history_model/cells.rs
+++ b/crates/control-cell/tests/history_model/cells.rs
@@ -15,7 +15,7 @@
     Get(Attempt),
     /// An order that would change nothing, as far as was known where it came.
     Put(Attempt, Order),
-    /// Another cell, in one of its lives, asks for its own reader.
+    /// Another cell, in one of its starts, asks for its own reader.
     Index {
         cell: u64,
         life: u64,
@@ -59,7 +59,7 @@
 
 pub struct Cell {
     pub node: ConsensusNode,
-    pub desk: OrderDesk<Attempt, Reader>,
+    pub orders: OrderTracker<Attempt, Reader>,
     life: u64,
     /// What the disk holds: survives a crash.
     hard: HardState,
@@ -110,8 +110,8 @@
         let state = CellState::of_snapshot(&disk.snap).unwrap();
         let seed = id * 77 + life;
         let node = ConsensusNode::new(id, hard, disk.clone(), Tuning::default(), seed);
-        let desk = OrderDesk::new(state, node.applied);
-        Cell { node, desk, life, hard, disk, later: Vec::new(), out: Vec::new() }
+        let orders = OrderTracker::new(state, node.applied);
+        Cell { node, orders, life, hard, disk, later: Vec::new(), out: Vec::new() }
     }
 
     /// The process dies and starts again: only the disk is left.
@@ -129,11 +129,11 @@
                     self.out.push(Packet::Agree { from: self.node.me, to, msg });
                 }
                 Effect::RoleIs(_) if !self.node.leads() => {
-                    let events = self.desk.stepped_down();
+                    let events = self.orders.stepped_down();
                     events.into_iter().for_each(|e| self.settle(e));
                 }
                 other => {
-                    let events = self.desk.take(other).unwrap();
+                    let events = self.orders.take(other).unwrap();
                     events.into_iter().for_each(|e| self.settle(e));
                 }
             }
@@ -144,7 +144,7 @@
     }
 
     fn propose(&mut self, attempt: Attempt, order: &Order, now: Duration) {
-        let token = self.desk.order(Some(attempt));
+        let token = self.orders.order(Some(attempt));
         let body = Body::Command(ByteBuf::from(encode(&change(order)).to_vec()));
         self.step(Event::Propose { token, body }, now);
     }
@@ -165,19 +165,19 @@
     }
 
     pub fn compact(&mut self, now: Duration) {
-        let data = ByteBuf::from(encode(self.desk.state()).to_vec());
-        let index = self.desk.applied();
+        let data = ByteBuf::from(encode(self.orders.state()).to_vec());
+        let index = self.orders.applied();
         self.step(Event::Compact { index, data }, now);
     }
 
-    fn settle(&mut self, event: DeskEvent<Attempt, Reader>) {
+    fn settle(&mut self, event: OrderEvent<Attempt, Reader>) {
         let from = self.node.me;
         let packet = match event {
-            DeskEvent::Order { waiting: attempt, outcome } => {
+            OrderEvent::Order { waiting: attempt, outcome } => {
                 Packet::PutAnswer { from, attempt, answer: put_answer(outcome) }
             }
-            DeskEvent::Read { reader: Reader::Put(attempt, order), index } => {
-                let decided = self.desk.state().decided(&change(&order));
+            OrderEvent::Read { reader: Reader::Put(attempt, order), index } => {
+                let decided = self.orders.state().decided(&change(&order));
                 if index.is_some() && decided.is_none() {
                     // Carried out after what is being carried out, as in the actor.
                     self.later.push((attempt, order));
@@ -186,23 +186,23 @@
                 let outcome = decided.filter(|_| index.is_some());
                 Packet::PutAnswer { from, attempt, answer: put_answer(outcome) }
             }
-            DeskEvent::Read { reader: Reader::Get(attempt), index } => {
+            OrderEvent::Read { reader: Reader::Get(attempt), index } => {
                 let answer = match index {
                     Some(_) => GetAnswer::Config(self.config()),
                     None => GetAnswer::Unclear,
                 };
                 Packet::GetAnswer { from, attempt, answer }
             }
-            DeskEvent::Read { reader: Reader::Index { cell, life, token }, index } => {
+            OrderEvent::Read { reader: Reader::Index { cell, life, token }, index } => {
                 Packet::TellIndex { from, to: cell, life, token, index }
             }
-            DeskEvent::Changed(_) | DeskEvent::Members(_) | DeskEvent::Restored => return,
+            OrderEvent::Changed(_) | OrderEvent::Members(_) | OrderEvent::Restored => return,
         };
         self.out.push(packet);
     }
 
     pub fn config(&self) -> Option<Config> {
-        let c = self.desk.state().config.as_ref()?;
+        let c = self.orders.state().config.as_ref()?;
         let v: Value = serde_json::from_slice(&c.body).unwrap();
         assert_eq!(v["configVersion"], c.version, "a body under another's version");
         Some(Config { version: c.version, body: v["body"].as_u64().unwrap() as u8 })
@@ -215,8 +215,8 @@
     pub fn put(&mut self, attempt: Attempt, order: Order, now: Duration) {
         let from = self.node.me;
         if self.node.leads() {
-            if self.desk.state().decided(&change(&order)).is_some() {
-                let token = self.desk.read(Reader::Put(attempt, order));
+            if self.orders.state().decided(&change(&order)).is_some() {
+                let token = self.orders.read(Reader::Put(attempt, order));
                 return self.step(Event::Confirm { token }, now);
             }
             return self.propose(attempt, &order, now);
@@ -233,7 +233,7 @@
             self.out.push(Packet::GetAnswer { from, attempt, answer: GetAnswer::Unclear });
             return;
         }
-        let token = self.desk.read(Reader::Get(attempt));
+        let token = self.orders.read(Reader::Get(attempt));
         match self.leader() {
             Some(to) if !self.node.leads() => {
                 self.out.push(Packet::AskIndex { from, to, life: self.life, token });
@@ -247,7 +247,7 @@
             Packet::Agree { from, msg, .. } => self.step(Event::Received { from, msg }, now),
             Packet::Forward { attempt, order, .. } => self.put(attempt, order, now),
             Packet::AskIndex { from, life, token, .. } if self.node.leads() => {
-                let token = self.desk.read(Reader::Index { cell: from, life, token });
+                let token = self.orders.read(Reader::Index { cell: from, life, token });
                 self.step(Event::Confirm { token }, now);
             }
             Packet::AskIndex { from, life, token, .. } => {
@@ -259,7 +259,7 @@
                 });
             }
             Packet::TellIndex { life, token, index, .. } if life == self.life => {
-                let events = self.desk.confirmed(token, index);
+                let events = self.orders.confirmed(token, index);
                 events.into_iter().for_each(|e| self.settle(e));
             }
             _ => {}
--- a/crates/control-cell/tests/history_model/world.rs
+++ b/crates/control-cell/tests/history_model/world.rs
@@ -66,7 +66,7 @@
         }
         for order in self.acknowledged() {
             let digest = order_digest(&body_of(&order));
-            let known = leader.desk.state().confirmed.has(order.version, &digest);
+            let known = leader.orders.state().confirmed.has(order.version, &digest);
             assert!(known, "a new leader doesn't know {order:?}");
         }
     }
@@ -355,7 +355,7 @@
                 let config = Some(Config { version: order.version, body: order.body });
                 assert_ne!(cell.config(), config, "refused and in force");
                 let digest = order_digest(&body_of(order));
-                let known = cell.desk.state().confirmed.has(order.version, &digest);
+                let known = cell.orders.state().confirmed.has(order.version, &digest);
                 assert!(!known, "refused and on record: {order:?}");
             }
         }
--- a/crates/control-cell/tests/orders.rs
+++ b/crates/control-cell/tests/orders.rs
@@ -1,10 +1,10 @@
 //! The order desk on its own: what ends an order's or a read's wait.
 use control_cell::prelude::*;
 
-type Desk = OrderDesk<&'static str, &'static str>;
+type Desk = OrderTracker<&'static str, &'static str>;
 
 fn desk() -> Desk {
-    OrderDesk::new(CellState::default(), 0)
+    OrderTracker::new(CellState::default(), 0)
 }
 
 fn entry(index: u64, term: u64, version: u64) -> Effect {
@@ -15,12 +15,12 @@
     Effect::Apply(Entry { index, term, body })
 }
 
-fn ended(outcome: Option<Outcome>) -> DeskEvent<&'static str, &'static str> {
-    DeskEvent::Order { waiting: "order", outcome }
+fn ended(outcome: Option<Outcome>) -> OrderEvent<&'static str, &'static str> {
+    OrderEvent::Order { waiting: "order", outcome }
 }
 
-fn served(index: u64) -> DeskEvent<&'static str, &'static str> {
-    DeskEvent::Read { reader: "read", index: Some(index) }
+fn served(index: u64) -> OrderEvent<&'static str, &'static str> {
+    OrderEvent::Read { reader: "read", index: Some(index) }
 }
 
 #[test]
@@ -31,7 +31,7 @@
         d.take(Effect::Appended { token, at: Some(LogPosition { index: 1, term: 3 }) }),
         Ok(vec![])
     );
-    let taken = DeskEvent::Changed(ChangedPart::Config);
+    let taken = OrderEvent::Changed(ChangedPart::Config);
     assert_eq!(d.take(entry(1, 3, 1)), Ok(vec![taken, ended(Some(Outcome::Taken))]));
     // The entry that was applied at its index is another's: nobody here knows what became of it.
     let token = d.order(Some("order"));
@@ -39,7 +39,7 @@
         d.take(Effect::Appended { token, at: Some(LogPosition { index: 2, term: 3 }) }),
         Ok(vec![])
     );
-    let taken = DeskEvent::Changed(ChangedPart::Config);
+    let taken = OrderEvent::Changed(ChangedPart::Config);
     assert_eq!(d.take(entry(2, 4, 2)), Ok(vec![taken, ended(None)]));
 }
 
@@ -53,7 +53,7 @@
     );
     d.order(Some("order"));
     assert_eq!(d.stepped_down(), [ended(None), ended(None)]);
-    let taken = DeskEvent::Changed(ChangedPart::Config);
+    let taken = OrderEvent::Changed(ChangedPart::Config);
     assert_eq!(d.take(entry(1, 3, 1)), Ok(vec![taken]), "answered twice");
 }
 
@@ -62,10 +62,10 @@
     let mut d = desk();
     let token = d.read("read");
     assert_eq!(d.confirmed(token, Some(2)), []);
-    assert_eq!(d.take(entry(1, 1, 1)), Ok(vec![DeskEvent::Changed(ChangedPart::Config)]));
+    assert_eq!(d.take(entry(1, 1, 1)), Ok(vec![OrderEvent::Changed(ChangedPart::Config)]));
     let data = ByteBuf::from(encode(&CellState::default()).to_vec());
     let snap = Snapshot { index: 5, term: 1, data, ..Snapshot::default() };
-    assert_eq!(d.take(Effect::Restore(snap)), Ok(vec![DeskEvent::Restored, served(2)]));
+    assert_eq!(d.take(Effect::Restore(snap)), Ok(vec![OrderEvent::Restored, served(2)]));
     assert_eq!(d.applied(), 5);
 }
 
--- a/crates/control-cell/tests/pace.rs
+++ b/crates/control-cell/tests/pace.rs
@@ -1,5 +1,5 @@
 //! How often the platform's list is read.
-use control_cell::listing::ListPace;
+use control_cell::listing::ListInterval;
 use control_cell::prelude::*;
 
 /// Any schedule of lists: short pauses after a change, half of the bound at most, and order is no news.
@@ -7,7 +7,7 @@
 fn a_change_is_followed_closely_and_calm_is_read_seldom() {
     arbtest::arbtest(|u| {
         let drain = Duration::from_millis(u.int_in_range(2500..=9000)?);
-        let (mut p, mut now) = (ListPace::new(drain), Duration::ZERO);
+        let (mut p, mut now) = (ListInterval::new(drain), Duration::ZERO);
         let mut last: Vec<EngineEntry> = Vec::new();
         for _ in 0..u.int_in_range(1..=30)? {
             let mut list = Vec::new();
--- a/crates/stand-ins/tests/landed_versions.rs
+++ b/crates/stand-ins/tests/landed_versions.rs
@@ -146,7 +146,7 @@
 async fn a_cell_s_disk_is_read_whole() {
     let copied = Copied::of("cell");
     let settings = node_runtime::settings::SharedSettings::from(cell_settings(&copied.0));
-    let cell = control_cell::actor::start(&settings).unwrap();
+    let cell = control_cell::actor::start(&settings).unwrap().handle;
     assert_eq!(read_config(&cell).await, &b"{\"configVersion\":280}"[..]);
     let soon = || Instant::now() + Duration::from_secs(2);
     let retired = cell.retire("storage-2".into(), true, soon()).await;
