--- a/crates/control-cell/src/actor/run.rs
+++ b/crates/control-cell/src/actor/run.rs
@@ -13,6 +13,22 @@
 /// Between two turns of a cell's duties.
 pub const DUTY_EVERY: Duration = Duration::from_millis(200);
 
+/// Whoever waits for an answer, of whatever kind.
+trait WaitingCaller {
+    fn is_gone(&self) -> bool;
+    fn remaining(&self) -> Duration;
+}
+
+impl<T> WaitingCaller for Waiting<T> {
+    fn is_gone(&self) -> bool {
+        Waiting::is_gone(self)
+    }
+
+    fn remaining(&self) -> Duration {
+        Waiting::remaining(self)
+    }
+}
+
 /// Who waits for an order.
 pub(super) enum Order {
     /// Answered with the outcome.
@@ -76,27 +92,26 @@
         }
     }
 
-    /// How long the caller waits yet.
-    pub fn remaining(&self) -> Duration {
+    /// Whoever waits for the answer, of whatever kind it is.
+    fn caller(&self) -> &dyn WaitingCaller {
         match self {
-            Reader::Config(w) => w.remaining(),
-            Reader::Follow(_, w) => w.remaining(),
-            Reader::Index(w) => w.remaining(),
-            Reader::Order { waiting, .. }
+            Reader::Config(waiting) => waiting,
+            Reader::Follow(_, waiting) => waiting,
+            Reader::Index(waiting)
+            | Reader::Order { waiting, .. }
             | Reader::Retire { waiting, .. }
-            | Reader::Trial { waiting, .. } => waiting.remaining(),
+            | Reader::Trial { waiting, .. } => waiting,
         }
     }
 
+    /// How long the caller waits yet.
+    pub fn remaining(&self) -> Duration {
+        self.caller().remaining()
+    }
+
+    /// Nobody waits for the answer any more.
     pub fn is_gone(&self) -> bool {
-        match self {
-            Reader::Config(w) => w.is_gone(),
-            Reader::Follow(_, w) => w.is_gone(),
-            Reader::Index(w) => w.is_gone(),
-            Reader::Order { waiting, .. }
-            | Reader::Retire { waiting, .. }
-            | Reader::Trial { waiting, .. } => waiting.is_gone(),
-        }
+        self.caller().is_gone()
     }
 }
 
--- a/crates/dispatcher/src/ledger/apply.rs
+++ b/crates/dispatcher/src/ledger/apply.rs
@@ -34,7 +34,7 @@
             LedgerWrite::Renew { req, epoch, lease } => {
                 refused(self.renew(*req, *epoch, *lease, now))
             }
-            LedgerWrite::Recover { req, epoch, node, incarnation, line, most, lease } => {
+            LedgerWrite::Recover { req, epoch, node, incarnation, session, most, lease } => {
                 let s = Segment {
                     epoch: *epoch,
                     node: *node,
@@ -44,7 +44,7 @@
                     relaunched: false,
                 };
                 let mut part = AttemptRecord::stub(*req);
-                (part.line, part.most) = (*line, *most);
+                (part.session, part.most) = (*session, *most);
                 self.recover(part, s, *lease, now, incarnations)
             }
             LedgerWrite::Release { req, epoch } => refused(self.release(*req, *epoch)),
@@ -82,8 +82,8 @@
                 return refused(WriteOutcome::Fenced { epoch: row.record.epoch() });
             }
         }
-        let of_line = self.records().filter(|r| r.line == a.line && r.req != a.req);
-        let next = of_line.map(|r| r.number).max().unwrap_or(0) + 1;
+        let of_session = self.records().filter(|r| r.session == a.session && r.req != a.req);
+        let next = of_session.map(|r| r.number).max().unwrap_or(0) + 1;
         let mut part = a.record();
         part.number = part.number.max(next);
         let had = self.record(a.req).map(|r| r.number);
--- a/crates/dispatcher/src/ledger/mod.rs
+++ b/crates/dispatcher/src/ledger/mod.rs
@@ -69,7 +69,7 @@
             }
             v.live.push(AttemptView {
                 req: r.req,
-                line: r.line,
+                session: r.session,
                 number: r.number,
                 epoch: r.epoch(),
                 most: r.most,
--- a/crates/dispatcher/src/node/claim.rs
+++ b/crates/dispatcher/src/node/claim.rs
@@ -137,7 +137,7 @@
         let slots: Vec<&AttemptView> =
             self.others().filter(|v| holds_slot(v, engine_listed)).collect();
         let of_session =
-            slots.iter().filter(|v| v.line == self.session || v.line == 0).count() as u32;
+            slots.iter().filter(|v| v.session == self.session || v.session == 0).count() as u32;
         let program = slots.len() as u32;
         let mut near = false;
         for (in_use, limit, scope) in [
@@ -183,7 +183,7 @@
                 epoch: k.view.epoch.next(node, incarnation, self.req),
                 node,
                 incarnation,
-                line: k.view.line,
+                session: k.view.session,
                 most: k.view.most,
                 lease,
             })
--- a/crates/dispatcher/src/node/limits.rs
+++ b/crates/dispatcher/src/node/limits.rs
@@ -22,7 +22,7 @@
 /// Four attempts and one minute are the design's starting values; 0 is unbounded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Attempts of one line that may hold a slot.
+    /// Attempts of one session that may hold a slot.
     pub per_session: u32,
     /// Attempts of one program that may hold a slot.
     pub per_program: u32,
--- a/crates/dispatcher/src/queue/mod.rs
+++ b/crates/dispatcher/src/queue/mod.rs
@@ -6,8 +6,8 @@
 pub struct ReadyTurn {
     /// The service whose engines run it.
     pub pool: Arc<str>,
-    /// Turns of one line leave in the order they came.
-    pub line: Option<u64>,
+    /// Turns of one session leave in the order they came.
+    pub session: Option<u64>,
     /// 0 is most pressing.
     pub priority: u8,
     pub begin_by: Duration,
@@ -26,7 +26,7 @@
 
 #[derive(Default)]
 struct Pool {
-    /// Those that may go: without a line, or the first of theirs.
+    /// Those that may go: without a session, or the first of theirs.
     ready: BTreeSet<Key>,
     /// All that wait, by priority.
     waiting: BTreeMap<u8, usize>,
@@ -42,18 +42,18 @@
 }
 
 /// Invariants: a ticket is in `turns` exactly while it waits; it is in its pool's `ready` unless an
-/// earlier turn of its line waits; `lines` holds the waiting tickets of each line in order of arrival.
+/// earlier turn of its session waits; `sessions` holds the waiting tickets of each session in order of arrival.
 pub struct ReadyQueue<T> {
     most: usize,
     turns: HashMap<u64, (ReadyTurn, T)>,
     pools: BTreeMap<Arc<str>, Pool>,
-    lines: HashMap<u64, VecDeque<u64>>,
+    sessions: HashMap<u64, VecDeque<u64>>,
 }
 
 impl<T> ReadyQueue<T> {
     /// At most `most` turns wait.
     pub fn new(most: usize) -> Self {
-        ReadyQueue { most, turns: HashMap::new(), pools: BTreeMap::new(), lines: HashMap::new() }
+        ReadyQueue { most, turns: HashMap::new(), pools: BTreeMap::new(), sessions: HashMap::new() }
     }
 
     /// How many of a pool may run at once; 0 is unbounded.
@@ -66,8 +66,8 @@
         if self.turns.len() >= self.most || self.turns.contains_key(&ticket) {
             return Err(item);
         }
-        let first = turn.line.is_none_or(|l| {
-            let q = self.lines.entry(l).or_default();
+        let first = turn.session.is_none_or(|l| {
+            let q = self.sessions.entry(l).or_default();
             q.push_back(ticket);
             q.len() == 1
         });
@@ -95,19 +95,19 @@
             }
         }
         self.drop_idle(&turn.pool);
-        if let Some(l) = turn.line {
+        if let Some(l) = turn.session {
             self.advance(l, ticket);
         }
         Some(item)
     }
 
-    fn advance(&mut self, line: u64, ticket: u64) {
-        let Some(q) = self.lines.get_mut(&line) else {
+    fn advance(&mut self, session: u64, ticket: u64) {
+        let Some(q) = self.sessions.get_mut(&session) else {
             return;
         };
         q.retain(|t| *t != ticket);
         let Some(head) = q.front().copied() else {
-            self.lines.remove(&line);
+            self.sessions.remove(&session);
             return;
         };
         if let Some((t, _)) = self.turns.get(&head) {
--- a/crates/dispatcher/src/records/attempt.rs
+++ b/crates/dispatcher/src/records/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a line's next turn, as a join-semilattice.
+//! One attempt at a session's next turn, as a join-semilattice.
 use crate::prelude::*;
 
 /// How far an attempt got towards its engine.
@@ -106,8 +106,8 @@
     pub req: u64,
     /// Hash of the session's id.
     #[serde(rename = "l")]
-    pub line: u64,
-    /// Proposed; a store that knows of later attempts of the line raises it.
+    pub session: u64,
+    /// Proposed; a store that knows of later attempts of the session raises it.
     #[serde(rename = "k", default, skip_serializing_if = "is_zero")]
     pub number: u32,
     #[serde(rename = "n")]
@@ -143,7 +143,7 @@
             relaunched: false,
         };
         AttemptRecord {
-            line: self.line,
+            session: self.session,
             number: self.number,
             consumed: self.consumed,
             pinned: self.pinned.clone(),
@@ -165,8 +165,8 @@
     #[serde(rename = "r")]
     pub req: u64,
     #[serde(rename = "l", default, skip_serializing_if = "is_default")]
-    pub line: u64,
-    /// Order in the line; the request's hash decides between equal ones.
+    pub session: u64,
+    /// Order in the session; the request's hash decides between equal ones.
     #[serde(rename = "k", default, skip_serializing_if = "is_zero")]
     pub number: u32,
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
@@ -194,7 +194,7 @@
     pub fn stub(req: u64) -> Self {
         AttemptRecord {
             req,
-            line: 0,
+            session: 0,
             number: 0,
             consumed: None,
             pinned: Pinned::default(),
@@ -210,7 +210,7 @@
     /// What every logged part says: enough for the budget and the slots.
     pub(crate) fn part(&self) -> Self {
         AttemptRecord {
-            line: self.line,
+            session: self.session,
             number: self.number,
             most: self.most,
             ..AttemptRecord::stub(self.req)
@@ -291,7 +291,7 @@
 
     /// Takes in what another record of the same request says; true when that changed this one.
     pub fn join(&mut self, o: &AttemptRecord) -> bool {
-        let mut changed = grow(&mut self.line, &o.line);
+        let mut changed = grow(&mut self.session, &o.session);
         changed |= grow(&mut self.number, &o.number);
         changed |= grow(&mut self.consumed, &o.consumed);
         changed |= grow(&mut self.pinned, &o.pinned);
--- a/crates/dispatcher/src/records/view.rs
+++ b/crates/dispatcher/src/records/view.rs
@@ -9,7 +9,7 @@
     #[serde(rename = "r")]
     pub req: u64,
     #[serde(rename = "l")]
-    pub line: u64,
+    pub session: u64,
     #[serde(rename = "k")]
     pub number: u32,
     #[serde(rename = "e")]
@@ -53,7 +53,7 @@
 
     /// What several stores tell of one attempt; `lapsed` is counted apart.
     pub(crate) fn join(&mut self, o: AttemptView) {
-        self.line = self.line.max(o.line);
+        self.session = self.session.max(o.session);
         self.number = self.number.max(o.number);
         self.epoch = self.epoch.max(o.epoch);
         self.most = self.most.max(o.most);
@@ -66,7 +66,7 @@
     pub(crate) fn finished(req: u64, tokens: u32) -> Self {
         AttemptView {
             req,
-            line: 0,
+            session: 0,
             number: 0,
             epoch: Epoch::NONE,
             most: 0,
--- a/crates/dispatcher/src/records/write.rs
+++ b/crates/dispatcher/src/records/write.rs
@@ -47,7 +47,7 @@
         incarnation: u64,
         /// As the claim told them, for a store that never saw it.
         #[serde(rename = "b")]
-        line: u64,
+        session: u64,
         #[serde(rename = "m")]
         most: u32,
         #[serde(rename = "l", with = "crate::records::millis")]
--- a/crates/request-proxy/src/door/client_stream.rs
+++ b/crates/request-proxy/src/door/client_stream.rs
@@ -3,10 +3,11 @@
 //! hyper takes an answer's last bytes into its own buffer before the socket takes them, and a socket that is
 //! closed with unread bytes in its receive buffer sends a reset, by which the client's kernel discards what
 //! the client hasn't read yet (RFC 9112, section 9.6).
+use crate::observed_stream::{ObservedStream, ReadOutcome, StreamObserver};
 use crate::prelude::*;
 use std::io;
 use std::sync::atomic::AtomicBool;
-use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// Whether bytes wait in front of the socket; shared with the stream that hyper works on.
 #[derive(Debug, Clone, Default)]
@@ -42,114 +43,73 @@
     NextRequest,
 }
 
-/// A client's socket. Invariants: `progress` is pending from a write until the flush that covers it, or
-/// until nothing more can be written; `is_read_out` once the client's end of stream was read.
-pub(super) struct ClientStream {
-    socket: TcpStream,
+/// What is known of a client's socket. Invariants: `progress` is pending from a write until the flush that covers
+/// it, or until nothing more can be written; `is_read_out` once the client's end of stream was read.
+pub(super) struct ClientObserver {
     progress: WriteProgress,
     is_read_out: bool,
 }
 
-impl ClientStream {
-    /// Wraps a new connection.
-    pub fn new(socket: TcpStream) -> (Self, WriteProgress) {
-        let progress = WriteProgress::default();
-        (ClientStream { socket, progress: progress.clone(), is_read_out: false }, progress)
+impl StreamObserver for ClientObserver {
+    fn after_write(&mut self, written: &Poll<io::Result<usize>>) {
+        // After an error nothing that was written before can arrive any more.
+        self.progress.set_pending(!matches!(written, Poll::Ready(Err(_))));
     }
 
-    /// Ends the connection so that the client can read everything that was written: says that nothing more
-    /// comes, then waits until the client has closed its side, too.
-    pub async fn close_in_order(mut self, unread: UnreadBytes, limits: LingerLimits) {
-        if self.is_read_out || self.socket.shutdown().await.is_err() {
-            return;
-        }
-        let client_closes = async {
-            match unread {
-                UnreadBytes::RestOfBody => self.discard(limits.quiet).await,
-                UnreadBytes::NextRequest => self.wait_for_end().await,
-            }
-        };
-        let _ = tokio::time::timeout(limits.total, client_closes).await;
+    fn after_flush(&mut self, _flushed: &io::Result<()>) {
+        self.progress.set_pending(false);
     }
 
-    async fn discard(&mut self, quiet: Duration) {
-        let mut discarded = [0; 4096];
-        loop {
-            match tokio::time::timeout(quiet, self.socket.read(&mut discarded)).await {
-                Ok(Ok(n)) if n > 0 => {}
-                _ => return,
-            }
-        }
+    fn after_read(&mut self, outcome: ReadOutcome) {
+        self.is_read_out |= outcome == ReadOutcome::Ended;
     }
+}
 
-    /// Takes nothing out of the socket.
-    async fn wait_for_end(&self) {
-        match self.socket.peek(&mut [0]).await {
-            // An end behind these bytes can't be seen.
-            Ok(n) if n > 0 => std::future::pending().await,
-            _ => {}
-        }
-    }
+/// A client's socket.
+pub(super) type ClientStream = ObservedStream<ClientObserver>;
 
-    fn wrote<T>(&self, polled: &Poll<io::Result<T>>) {
-        // After an error nothing that was written before can arrive any more.
-        self.progress.set_pending(!matches!(polled, Poll::Ready(Err(_))));
-    }
+/// Wraps a new connection.
+pub(super) fn observe_client(socket: TcpStream) -> (ClientStream, WriteProgress) {
+    let progress = WriteProgress::default();
+    let observer = ClientObserver { progress: progress.clone(), is_read_out: false };
+    (ClientStream { socket, observer }, progress)
 }
 
-impl AsyncRead for ClientStream {
-    fn poll_read(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        let (before, had_room) = (buf.filled().len(), buf.remaining() > 0);
-        let polled = Pin::new(&mut self.socket).poll_read(cx, buf);
-        let has_ended = match &polled {
-            Poll::Ready(Ok(())) => had_room && buf.filled().len() == before,
-            Poll::Ready(Err(_)) => true,
-            Poll::Pending => false,
-        };
-        self.is_read_out |= has_ended;
-        polled
+/// Ends a connection so that the client can read everything that was written: says that nothing more comes,
+/// then waits until the client has closed its side, too.
+pub(super) async fn close_in_order(
+    stream: ClientStream,
+    unread: UnreadBytes,
+    limits: LingerLimits,
+) {
+    let ClientStream { mut socket, observer } = stream;
+    if observer.is_read_out || socket.shutdown().await.is_err() {
+        return;
     }
+    let client_closes = async {
+        match unread {
+            UnreadBytes::RestOfBody => discard(&mut socket, limits.quiet).await,
+            UnreadBytes::NextRequest => wait_for_end(&socket).await,
+        }
+    };
+    let _ = tokio::time::timeout(limits.total, client_closes).await;
 }
 
-impl AsyncWrite for ClientStream {
-    fn poll_write(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.socket).poll_write(cx, buf);
-        self.wrote(&polled);
-        polled
-    }
-
-    fn poll_write_vectored(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.socket).poll_write_vectored(cx, bufs);
-        self.wrote(&polled);
-        polled
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        self.socket.is_write_vectored()
-    }
-
-    /// hyper flushes only once its own buffer is empty.
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let polled = Pin::new(&mut self.socket).poll_flush(cx);
-        if polled.is_ready() {
-            self.progress.set_pending(false);
+async fn discard(socket: &mut TcpStream, quiet: Duration) {
+    let mut discarded = [0; 4096];
+    loop {
+        match tokio::time::timeout(quiet, socket.read(&mut discarded)).await {
+            Ok(Ok(n)) if n > 0 => {}
+            _ => return,
         }
-        polled
     }
+}
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.socket).poll_shutdown(cx)
+/// Takes nothing out of the socket.
+async fn wait_for_end(socket: &TcpStream) {
+    match socket.peek(&mut [0]).await {
+        // An end behind these bytes can't be seen.
+        Ok(n) if n > 0 => std::future::pending().await,
+        _ => {}
     }
 }
--- a/crates/request-proxy/src/door/connection.rs
+++ b/crates/request-proxy/src/door/connection.rs
@@ -3,7 +3,9 @@
 //! Invariant: a connection is closed by this side only when no request on it is open, hyper's buffer has been
 //! handed to the kernel, and the client has had the chance to read it.
 use super::accounting::TrackedBody;
-use super::client_stream::{ClientStream, LingerLimits, UnreadBytes, WriteProgress};
+use super::client_stream::{
+    close_in_order, observe_client, ClientStream, LingerLimits, UnreadBytes, WriteProgress,
+};
 use super::idle::{IdleTracker, OpenRequest};
 use crate::flow;
 use crate::prelude::*;
@@ -48,7 +50,7 @@
         let _ = tokio::time::timeout(FIRST_BYTES, socket.readable()).await;
     }
     let head_bytes = app.live().map_or(FIRST_HEAD_BYTES, |live| live.header_bytes);
-    let (stream, progress) = ClientStream::new(socket);
+    let (stream, progress) = observe_client(socket);
     let idle = IdleTracker::new(idle_time(&app));
     let service = hyper::service::service_fn(|request: Request<Incoming>| {
         let app = app.clone();
@@ -173,7 +175,7 @@
             true => LINGER_ENDED,
             false => LINGER_SERVING,
         };
-        stream.close_in_order(unread, limits).await;
+        close_in_order(stream, unread, limits).await;
     }
 
     /// Waits until what was read has its answer and the kernel has all of it. A head that was begun may come
--- a/crates/request-proxy/src/flow/turn.rs
+++ b/crates/request-proxy/src/flow/turn.rs
@@ -87,7 +87,7 @@
 ) -> Result<Opened, OwnAnswer> {
     let (app, head) = (job.app, job.head);
     let claim = head.program.map(|_| ClaimAsk {
-        line: fnv64(head.session.unwrap_or("").as_bytes()),
+        session: fnv64(head.session.unwrap_or("").as_bytes()),
         pinned: Pinned {
             config_version: job.live.version,
             service: job.service.to_string(),
--- a/crates/request-proxy/src/lib.rs
+++ b/crates/request-proxy/src/lib.rs
@@ -3,6 +3,7 @@
 pub mod door;
 pub mod flow;
 pub mod life;
+mod observed_stream;
 pub mod prelude;
 pub mod relay;
 pub mod sending;
--- a/crates/request-proxy/src/sending/wire.rs
+++ b/crates/request-proxy/src/sending/wire.rs
@@ -5,10 +5,10 @@
 //! comes before its request is written for that request's, and looks at an idle socket only when the
 //! reactor has reported it.
 use crate::app::locked;
+use crate::observed_stream::{ObservedStream, ReadOutcome, StreamObserver};
 use crate::prelude::*;
 use std::io;
 use std::mem::MaybeUninit;
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// Where a connection stands between a request and its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,7 +44,7 @@
             out_of_turn: false,
             sealed: false,
         })));
-        (WatchedStream { stream, watch: watch.clone() }, watch)
+        (WatchedStream { socket: stream, observer: watch.clone() }, watch)
     }
 
     /// The connection rests: its answer is whole, and the next request counts from nothing.
@@ -109,64 +109,28 @@
 }
 
 /// A connection's stream, which reports every byte to its watch.
-pub struct WatchedStream {
-    stream: TcpStream,
-    watch: WireWatch,
-}
+pub type WatchedStream = ObservedStream<WireWatch>;
 
-impl AsyncRead for WatchedStream {
-    fn poll_read(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
-        let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
-        self.watch.read(buf.filled().len() - before);
-        polled
+impl StreamObserver for WireWatch {
+    fn before_write(&mut self, socket: &TcpStream) -> io::Result<()> {
+        self.may_write(socket)
     }
-}
 
-impl AsyncWrite for WatchedStream {
-    fn poll_write(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        self.watch.may_write(&self.stream)?;
-        let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        if let Poll::Ready(Ok(n)) = &polled {
-            self.watch.wrote(*n);
+    fn after_write(&mut self, written: &Poll<io::Result<usize>>) {
+        if let Poll::Ready(Ok(n)) = written {
+            self.wrote(*n);
         }
-        polled
     }
 
-    fn poll_write_vectored(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        self.watch.may_write(&self.stream)?;
-        let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        if let Poll::Ready(Ok(n)) = &polled {
-            self.watch.wrote(*n);
+    fn after_flush(&mut self, flushed: &io::Result<()>) {
+        if flushed.is_ok() {
+            self.flushed();
         }
-        polled
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        self.stream.is_write_vectored()
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let polled = Pin::new(&mut self.stream).poll_flush(cx);
-        if let Poll::Ready(Ok(())) = &polled {
-            self.watch.flushed();
+    fn after_read(&mut self, outcome: ReadOutcome) {
+        if let ReadOutcome::Bytes(n) = outcome {
+            self.read(n);
         }
-        polled
-    }
-
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_shutdown(cx)
     }
 }
--- a/crates/request-proxy/src/turns/open.rs
+++ b/crates/request-proxy/src/turns/open.rs
@@ -5,7 +5,7 @@
 pub enum OpenFault {
     /// The allowance has no room for the most of this turn.
     Spent,
-    /// Too many attempts of the line, or of the program, hold a slot.
+    /// Too many attempts of the session, or of the program, hold a slot.
     Capacity,
     /// No store of the group holds the earlier turn.
     NoTurn,
--- a/crates/request-proxy/src/turns/opening.rs
+++ b/crates/request-proxy/src/turns/opening.rs
@@ -15,7 +15,7 @@
 
 /// What a turn asks for when it is claimed.
 pub struct ClaimAsk {
-    pub line: u64,
+    pub session: u64,
     pub pinned: Pinned,
     pub most: u32,
     pub allowance: Option<u64>,
@@ -45,7 +45,7 @@
         let end = until.min(Instant::now() + OPEN);
         let attempt = ask.claim.as_ref().map(|c| NewAttempt {
             req: ask.req,
-            line: c.line,
+            session: c.session,
             number: 0,
             node: self.node,
             incarnation: self.incarnation.load(Ordering::Relaxed),
@@ -126,8 +126,8 @@
         let mut heard: Vec<u64> = Vec::new();
         let mut elsewhere = None;
         let mut ledger = OpenLedger::new(row.len(), quorum, previous.is_some());
-        let line = ask.claim.as_ref().map_or(0, |c| c.line);
-        let mut tally = ClaimTally::new(quorum, ask.req, line, self.limits());
+        let session = ask.claim.as_ref().map_or(0, |c| c.session);
+        let mut tally = ClaimTally::new(quorum, ask.req, session, self.limits());
         loop {
             let others: Vec<u64> = heard.iter().chain(&ids).copied().collect();
             match ledger.step(&others) {
--- a/crates/session-index/src/scheduler/mod.rs
+++ b/crates/session-index/src/scheduler/mod.rs
@@ -187,7 +187,7 @@
         let ticket = self.next_ticket;
         let turn = ReadyTurn {
             pool: ask.service.clone(),
-            line: ask.session.as_ref().map(|s| fnv64(s.as_bytes())),
+            session: ask.session.as_ref().map(|s| fnv64(s.as_bytes())),
             priority: ask.priority,
             begin_by: now + ask.slack,
         };
