--- a/crates/request-proxy/src/door/connection.rs
+++ b/crates/request-proxy/src/door/connection.rs
@@ -61,8 +61,8 @@
         .max_buf_size((head_bytes + READ_AHEAD).max(LEAST_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = Connection { app: &app, life, idle: &idle, progress };
-    connection.run(Pin::new(&mut http)).await;
-    connection.close(http.into_parts().io.into_inner()).await;
+    let ended = connection.run(Pin::new(&mut http)).await;
+    connection.close(http.into_parts().io.into_inner(), ended).await;
 }
 
 async fn answer(
@@ -104,9 +104,12 @@
     }
 }
 
-/// What ended first.
+/// How a connection came to its end.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ended {
+    /// hyper has ended it: the client left, or an answer was its last.
     Connection,
+    /// It rests, and its time or the proxy's life is over.
     IdleTime,
 }
 
@@ -133,8 +136,8 @@
 }
 
 impl Connection<'_> {
-    /// Returns when the connection has ended or may be closed.
-    async fn run<C: HttpConnection>(&mut self, mut http: Pin<&mut C>) {
+    /// Returns when the connection has ended or may be closed, and which of both.
+    async fn run<C: HttpConnection>(&mut self, mut http: Pin<&mut C>) -> Ended {
         // One accepted while the proxy is closing has its answer first.
         if !self.life.borrow_and_update().listens() {
             return self.finish(http).await;
@@ -144,7 +147,7 @@
             let is_over = tokio::select! {
                 ended = ended_or_idle(http.as_mut(), &mut timer, self.app, self.idle) => {
                     match ended {
-                        Ended::Connection => return,
+                        Ended::Connection => return Ended::Connection,
                         Ended::IdleTime => self.is_idle_time_over(),
                     }
                 }
@@ -164,12 +167,13 @@
         expires_at.is_some_and(|at| at <= Instant::now())
     }
 
-    /// The orderly end of the socket.
-    async fn close(&self, stream: ClientStream) {
-        let unread = match self.idle.is_body_unread() {
-            true => UnreadBytes::RestOfBody,
-            false if self.idle.rested_for() > ANSWER_READ => return,
-            false => UnreadBytes::NextRequest,
+    /// The orderly end of the socket. A body that was still on its way as its request was answered ends the
+    /// connection; one that hyper could drain doesn't, and what comes after it is another request.
+    async fn close(&self, stream: ClientStream, ended: Ended) {
+        let unread = match ended {
+            Ended::Connection if self.idle.is_body_unread() => UnreadBytes::RestOfBody,
+            _ if self.idle.rested_for() > ANSWER_READ => return,
+            _ => UnreadBytes::NextRequest,
         };
         let limits = match self.life.borrow().ended_now() {
             true => LINGER_ENDED,
@@ -181,19 +185,19 @@
     /// Waits until what was read has its answer and the kernel has all of it. A head that was begun may come
     /// to its end within the time for heads, but none once the life has ended: what wasn't read whole is
     /// sent again elsewhere.
-    async fn finish<C: HttpConnection>(&mut self, mut http: Pin<&mut C>) {
+    async fn finish<C: HttpConnection>(&mut self, mut http: Pin<&mut C>) -> Ended {
         let head_time = head_time(self.app);
         let mut has_ended = false;
         loop {
             // The connection is polled first: whatever was read counts as taken.
             tokio::select! {
                 biased;
-                _ = http.as_mut() => return,
+                _ = http.as_mut() => return Ended::Connection,
                 _ = self.life.wait_for(LifeState::ended_now), if !has_ended => has_ended = true,
                 () = tokio::time::sleep(head_time) => {}
             }
             if self.idle.is_idle() && self.progress.is_flushed() {
-                return;
+                return Ended::IdleTime;
             }
         }
     }
