--- a/crates/request-proxy/src/door/connection.rs
+++ b/crates/request-proxy/src/door/connection.rs
@@ -156,8 +156,10 @@
                 }
             };
             if is_over {
+                let rested = self.idle.is_idle();
                 http.as_mut().shut_down();
-                return self.finish(http).await;
+                let ended = self.finish(http).await;
+                return if rested { Ended::IdleTime } else { ended };
             }
         }
     }
--- a/crates/stand-ins/tests/closing_connections.rs
+++ b/crates/stand-ins/tests/closing_connections.rs
@@ -90,6 +90,24 @@
     assert_eq!((e.runs_of("p1"), e.runs_of("p2")), (1, 0));
 }
 
+/// Its client sends it again elsewhere, as it was never read: more than the sockets hold isn't taken.
+#[tokio::test]
+async fn a_request_that_crosses_the_end_of_its_connection_is_left_unread() {
+    let e = engine().await;
+    let p = proxy_of("crossing", &e).await;
+    let mut client = TcpStream::connect(&p.front).await.unwrap();
+    // Answered before its body was read, which had come whole.
+    client.write_all((head("/none/a", "c1", "", 1) + "x").as_bytes()).await.unwrap();
+    read_head(&mut client).await;
+    for event in [LifeEvent::Term, LifeEvent::Unlisted, LifeEvent::Done] {
+        p.app.live_on(event);
+    }
+    read_to_the_end(&mut client).await;
+    let crossing = [head("/w/a", "c2", "", LARGE).into_bytes(), vec![b'x'; LARGE]].concat();
+    assert!(client.write_all(&crossing).await.is_err(), "it was read");
+    assert_eq!(e.runs_of("c2"), 0);
+}
+
 #[tokio::test]
 async fn a_slow_reader_has_its_whole_answer_though_the_process_ends() {
     let e = engine().await;
