--- a/crates/spokebank/tests/leaving.rs
+++ b/crates/spokebank/tests/leaving.rs
@@ -45,14 +45,15 @@
 #[tokio::test]
 async fn a_leaving_machine_takes_what_it_can_finish_and_refuses_the_rest() {
     let net = Net::new("leaving");
-    let llm = Engine::start("i-llm", &format!("{}:0", net.ip(40))).await.unwrap();
-    let app = Engine::start("i-app", &format!("{}:0", net.ip(41))).await.unwrap();
+    let llm = Engine::start("i-llm", &format!("{}:0", net.network.ip(40))).await.unwrap();
+    let app = Engine::start("i-app", &format!("{}:0", net.network.ip(41))).await.unwrap();
     let row = |service: &str, e: &Engine| {
         (service.to_string(), e.id.clone(), e.addr.to_string(), "a".into(), "ready".into())
     };
     let list = Arc::new(Mutex::new(vec![row("llm", &llm), row("app", &app)]));
     let mut core = net.settings("core-1", "core", 1, "a");
-    core.cloud = serve_platform(&format!("{}:0", net.ip(50)), list).await.unwrap().to_string();
+    core.cloud =
+        serve_platform(&format!("{}:0", net.network.ip(50)), list).await.unwrap().to_string();
     let mut nodes = vec![net.start("control-cell", core)];
     for (zone, host) in ["a", "b", "c"].iter().zip(10..) {
         let store = net.settings(&format!("store-{host}"), "storage", host, zone);
@@ -61,10 +62,10 @@
     let machine = net.settings("front-1", "front", PROXY, "a");
     let mut agent = net.start("feed-agent", machine.clone());
     let mut proxy = net.start("request-proxy", machine);
-    let (front, readiness) = (net.front(PROXY), net.readiness(PROXY));
+    let (front, readiness) = (net.network.front(PROXY), net.network.readiness(PROXY));
     let head = [("host", "c"), ("if-match", "0"), ("content-type", "application/json")];
     until("the configuration", async || {
-        let put = call(&net.control(1), "PUT", "/config", &head, CONFIG.as_bytes()).await;
+        let put = call(&net.network.control(1), "PUT", "/config", &head, CONFIG.as_bytes()).await;
         put.is_some_and(|a| a.status == 200)
     })
     .await;
--- a/crates/spokebank/tests/settings_reload.rs
+++ b/crates/spokebank/tests/settings_reload.rs
@@ -16,10 +16,10 @@
 /// Each program, with the class and the host number of its machine, and where it listens once started.
 type Program = (&'static str, &'static str, u8, fn(&Net) -> String);
 const PROGRAMS: [Program; 4] = [
-    ("control-cell", "core", 1, |net| net.inner(1, CELL_PORT)),
-    ("turn-store", "storage", 10, |net| net.inner(10, STORE_PORT)),
+    ("control-cell", "core", 1, |net| net.network.inner(1, CELL_PORT)),
+    ("turn-store", "storage", 10, |net| net.network.inner(10, STORE_PORT)),
     ("feed-agent", "front", PROXY, |net| net.agent()),
-    ("request-proxy", "front", PROXY, |net| net.readiness(PROXY)),
+    ("request-proxy", "front", PROXY, |net| net.network.readiness(PROXY)),
 ];
 
 fn config(version: u64, extra: bool) -> String {
@@ -109,22 +109,22 @@
 #[tokio::test]
 async fn hangups_in_the_middle_of_a_stream_end_nothing() {
     let net = Net::new("hangup");
-    let llm = Engine::start("i-llm", &format!("{}:0", net.ip(40))).await.unwrap();
-    let app = Engine::start("i-app", &format!("{}:0", net.ip(41))).await.unwrap();
+    let llm = Engine::start("i-llm", &format!("{}:0", net.network.ip(40))).await.unwrap();
+    let app = Engine::start("i-app", &format!("{}:0", net.network.ip(41))).await.unwrap();
     let row = |service: &str, e: &Engine| {
         (service.to_string(), e.id.clone(), e.addr.to_string(), "a".into(), "ready".into())
     };
     let list = Arc::new(Mutex::new(vec![row("llm", &llm), row("app", &app)]));
-    let platform = serve_platform(&format!("{}:0", net.ip(50)), list).await.unwrap();
+    let platform = serve_platform(&format!("{}:0", net.network.ip(50)), list).await.unwrap();
     let mut core = net.start("control-cell", net.settings("core-1", "core", 1, "a"));
     let mut nodes = start_stores(&net, 10);
     let front = net.settings("front-1", "front", PROXY, "a");
     nodes.push(net.start("feed-agent", front.clone()));
     nodes.push(net.start("request-proxy", front));
-    let (front, control) = (net.front(PROXY), net.control(1));
+    let (front, control) = (net.network.front(PROXY), net.network.control(1));
     until("the first configuration", async || put(&control, 0, &config(3, false)).await == 200)
         .await;
-    until("readiness", async || ready(&net.readiness(PROXY)).await).await;
+    until("readiness", async || ready(&net.network.readiness(PROXY)).await).await;
     assert_ne!(get(&front, "none", "/r/a").await, 200, "no list yet");
 
     core.rewrite(|s| s.cloud = platform.to_string());
@@ -229,7 +229,7 @@
 }
 
 async fn status(net: &Net, host: u8) -> Option<CellStatus> {
-    let cell = Caller::new(net.inner(host, CELL_PORT));
+    let cell = Caller::new(net.network.inner(host, CELL_PORT));
     match cell.call(&CellCall::Status, Duration::from_secs(1)).await {
         Ok(CellReply::Status(t)) => Some(*t),
         _ => None,
@@ -237,7 +237,7 @@
 }
 
 async fn store_version(net: &Net, host: u8) -> u64 {
-    let store = Caller::new(net.inner(host, STORE_PORT));
+    let store = Caller::new(net.network.inner(host, STORE_PORT));
     match store.call(&StoreCall::Status, Duration::from_secs(1)).await {
         Ok(StoreReply::Status { version, .. }) => version,
         _ => 0,
@@ -255,12 +255,12 @@
     let front_settings = net.settings("front-1", "front", PROXY, "a");
     nodes.push(net.start("feed-agent", front_settings.clone()));
     let mut proxy = net.start("request-proxy", front_settings);
-    let front = net.front(PROXY);
+    let front = net.network.front(PROXY);
     until("the first configuration", async || {
-        put(&net.control(1), 0, &config(3, false)).await == 200
+        put(&net.network.control(1), 0, &config(3, false)).await == 200
     })
     .await;
-    until("readiness", async || ready(&net.readiness(PROXY)).await).await;
+    until("readiness", async || ready(&net.network.readiness(PROXY)).await).await;
     for host in 10..13 {
         until("a store set", async || store_version(&net, host).await == 1).await;
     }
@@ -286,11 +286,13 @@
     }
     core.kill();
     let body = config(4, true);
-    until("a change without the first cell", async || put(&net.control(4), 3, &body).await == 200)
-        .await;
+    until("a change without the first cell", async || {
+        put(&net.network.control(4), 3, &body).await == 200
+    })
+    .await;
     assert_eq!(get(&front, "before", "/n/a").await, 404);
 
-    let seeds = vec![net.control(4), net.control(5)];
+    let seeds = vec![net.network.control(4), net.network.control(5)];
     for n in &mut nodes {
         n.rewrite(|s| s.seeds.clone_from(&seeds));
         n.signal(Signal::SIGCONT);
--- a/crates/spokebank/tests/support/mod.rs
+++ b/crates/spokebank/tests/support/mod.rs
@@ -4,87 +4,41 @@
 use stand_ins::prelude::*;
 use std::process::{Child, Command, Stdio};
 
-/// Ports of one test: sixteen in a row that nobody uses, the first eight between the system's processes.
-const PORTS_IN_A_ROW: u16 = 16;
-const FRONT_PORT: u16 = 8;
-const READINESS_PORT: u16 = 9;
-const CONTROL_PORT: u16 = 10;
-
-/// Where the processes of one test live.
+/// Where the processes of one test live. Dropped, it removes their folder.
 pub struct Net {
-    pub dir: PathBuf,
-    first_port: u16,
-    subnet: String,
+    pub network: Network,
 }
 
 impl Net {
-    /// A folder, a part of loopback and free ports, so that tests that run at once don't meet.
     pub fn new(name: &str) -> Self {
-        let dir = std::env::temp_dir().join(format!("spokebank-{name}-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&dir);
-        std::fs::create_dir_all(&dir).unwrap();
-        let subnet = format!("127.{}.{}", fastrand::u8(20..250), fastrand::u8(1..250));
-        Net { dir, first_port: free_ports(), subnet }
-    }
-
-    pub fn ip(&self, host: u8) -> String {
-        format!("{}.{host}", self.subnet)
-    }
-
-    fn at(&self, host: u8, offset: u16) -> String {
-        format!("{}:{}", self.ip(host), self.first_port + offset)
-    }
-
-    pub fn front(&self, host: u8) -> String {
-        self.at(host, FRONT_PORT)
-    }
-
-    pub fn readiness(&self, host: u8) -> String {
-        self.at(host, READINESS_PORT)
-    }
-
-    pub fn control(&self, host: u8) -> String {
-        self.at(host, CONTROL_PORT)
-    }
-
-    /// The address of one of the ports between the system's processes.
-    pub fn inner(&self, host: u8, offset: u16) -> String {
-        self.at(host, offset)
+        Net { network: Network::new(name) }
     }
 
     /// The port on which an agent feeds its proxy.
     pub fn agent(&self) -> String {
-        format!("127.0.0.1:{}", self.first_port + node_runtime::settings::AGENT_PORT)
+        let (first_port, _) = self.network.ports();
+        format!("127.0.0.1:{}", first_port + node_runtime::settings::AGENT_PORT)
     }
 
     /// Settings of a machine.
     pub fn settings(&self, name: &str, class: &str, host: u8, zone: &str) -> FileOf {
-        let mut listen = String::new();
-        match class {
-            "front" => {
-                let (front, readiness) = (self.front(host), self.readiness(host));
-                listen = format!("front = \"{front}\"\nreadiness = \"{readiness}\"\n");
-            }
-            "core" => listen = format!("control = \"{}\"\n", self.control(host)),
-            _ => {}
-        }
         FileOf {
             name: name.into(),
             class: class.into(),
-            ip: self.ip(host),
+            ip: self.network.ip(host),
             zone: zone.into(),
-            ports: (self.first_port, self.first_port + PORTS_IN_A_ROW - 1),
-            seeds: vec![self.control(1)],
+            ports: self.network.ports(),
+            seeds: vec![self.network.control(1)],
             first_start: true,
-            data: self.dir.join(name),
-            listen,
+            data: self.network.dir.join(name),
+            listen: self.network.listen_addresses(class, host),
             drain_ms: 3000,
-            cloud: self.at(99, 0),
+            cloud: self.network.inner(99, 0),
         }
     }
 
     fn file(&self, program: &str, settings: &FileOf) -> PathBuf {
-        self.dir.join(format!("{program}-{}.toml", settings.name))
+        self.network.dir.join(format!("{program}-{}.toml", settings.name))
     }
 
     /// Starts one of the programs on these settings.
@@ -121,19 +75,7 @@
 
 impl Drop for Net {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.dir);
-    }
-}
-
-/// The first of a row of ports that are free on all of loopback, found by binding each. They lie below
-/// the ports that the system gives to outgoing connections, so that none of these takes one meanwhile.
-fn free_ports() -> u16 {
-    loop {
-        let first = fastrand::u16(12_000..32_000);
-        let free = |port| std::net::TcpListener::bind(("0.0.0.0", port)).is_ok();
-        if (first..first + PORTS_IN_A_ROW).all(free) {
-            return first;
-        }
+        let _ = std::fs::remove_dir_all(&self.network.dir);
     }
 }
 
--- a/crates/stand-ins/src/machines/mod.rs
+++ b/crates/stand-ins/src/machines/mod.rs
@@ -75,6 +75,23 @@
         format!("{}:0", self.ip(host))
     }
 
+    /// The first and the last port of the row.
+    pub fn ports(&self) -> (u16, u16) {
+        (self.first_port, self.first_port + PORTS_IN_A_ROW - 1)
+    }
+
+    /// The settings of where a machine of this class listens, a line each.
+    pub fn listen_addresses(&self, class: &str, host: u8) -> String {
+        match class {
+            "front" => {
+                let (front, readiness) = (self.front(host), self.readiness(host));
+                format!("front = \"{front}\"\nreadiness = \"{readiness}\"\n")
+            }
+            "core" => format!("control = \"{}\"\n", self.control(host)),
+            _ => String::new(),
+        }
+    }
+
     /// Writes a machine's settings file and reads it as its processes do.
     pub fn settings(&self, machine: &Machine<'_>) -> NodeSettings {
         let file = self.dir.join(format!("{}.toml", machine.name));
@@ -84,25 +101,17 @@
 
     fn text(&self, machine: &Machine<'_>) -> String {
         let Machine { name, class, host, zone, zones, seeds, cloud } = machine;
-        let listen = match *class {
-            "front" => {
-                let (front, readiness) = (self.front(*host), self.readiness(*host));
-                format!("front = \"{front}\"\nreadiness = \"{readiness}\"\n")
-            }
-            "core" => format!("control = \"{}\"\n", self.control(*host)),
-            _ => String::new(),
-        };
+        let listen = self.listen_addresses(class, *host);
+        let (first_port, last_port) = self.ports();
         let seeds: Vec<String> = seeds.iter().map(|host| self.control(*host)).collect();
         let zones: String = zones.iter().map(|zone| format!("{zone} = \"r\"\n")).collect();
         format!(
             "nodeName = \"{name}\"\nmachineClass = \"{class}\"\nipAddress = \"{}\"\nzone = \"{zone}\"\n\
-             internalPortRange = [{}, {}]\nseedAddresses = {seeds:?}\nfirstStart = true\n\
+             internalPortRange = [{first_port}, {last_port}]\nseedAddresses = {seeds:?}\nfirstStart = true\n\
              dataDirectory = \"{}\"\n[zones]\n{zones}[listenAddresses]\n{listen}\
              [limits]\nmemoryMb = 256\nfileDescriptors = 2000\ndiskMb = 64\n\
              [cloudApi]\naddress = \"{cloud}\"\nratePerS = 40.0\nlagMs = 10\n",
             self.ip(*host),
-            self.first_port,
-            self.first_port + PORTS_IN_A_ROW - 1,
             self.dir.join(name).display(),
         )
     }
